--- a/include/peppertack/coordination/admission.hpp
+++ b/include/peppertack/coordination/admission.hpp
@@ -10,8 +10,9 @@
 
 namespace peppertack {
 
-/// Decides which requests a target is given and when: bounded in flight, a bounded queue that is
-/// fair among keys, and early refusal of what could not finish in time. Not thread safe.
+/// Admission control for one target: bounds the requests in flight, keeps a bounded queue that is
+/// served round-robin by key, and refuses requests that could not finish before their deadline. Not
+/// thread safe.
 class admission {
 public:
     enum class verdict : std::uint8_t { start, queued, refused };
@@ -33,20 +34,20 @@
     const limits &current_limits() const { return m_limits; }
 
     verdict offer(const item &request, instant now);
-    /// A started request has ended; `ran_for` feeds the estimate of service time.
+    /// Records the end of a started request; `ran_for` updates the service time estimate.
     void finish(duration ran_for);
-    /// Next queued request that may start now; it counts as started. Keys take turns. Requests
-    /// whose deadline has passed are put into `expired` instead.
+    /// Returns the next queued request that may start and counts it as started. Keys are served
+    /// round-robin. Requests whose deadline has passed are appended to `expired` instead.
     std::optional<std::uint64_t> next(instant now, std::vector<std::uint64_t> &expired);
-    /// Takes a request out of the queue. False if it is not there.
+    /// Removes a request from the queue. Returns false if it is not queued.
     bool withdraw(std::uint64_t request);
-    /// Takes all that wait out of the queue.
+    /// Empties the queue and returns the removed requests in ascending order.
     std::vector<std::uint64_t> withdraw_all();
     void reset();
 
     std::uint32_t in_flight() const { return m_in_flight; }
     std::size_t queued() const { return m_queued; }
-    /// When a refused caller should try again.
+    /// Time after which a refused caller should retry.
     duration retry_after() const;
     duration service_time() const { return m_service_time; }
 
@@ -57,7 +58,7 @@
     std::uint32_t m_in_flight = 0;
     std::size_t m_queued = 0;
     std::unordered_map<std::uint64_t, std::deque<item>> m_by_key;
-    std::deque<std::uint64_t> m_turns; ///< keys with something queued, next turn first
+    std::deque<std::uint64_t> m_turns; ///< keys with queued requests, in round-robin order
     duration m_service_time = std::chrono::milliseconds(1);
 };
 
--- a/include/peppertack/coordination/admission_level.hpp
+++ b/include/peppertack/coordination/admission_level.hpp
@@ -7,15 +7,15 @@
 
 namespace peppertack {
 
-/// Shares of what callers ask of a service that its targets take, from 0 to 1.
+/// Shares of the requests to a service that its targets accept, from 0 to 1.
 struct admission_level {
     double fresh = 1;   ///< of requests that can still meet their latency objective
-    double expired = 1; ///< of requests whose objective had passed when they came
+    double expired = 1; ///< of requests whose objective had passed on arrival
 
     friend bool operator==(const admission_level &, const admission_level &) = default;
 };
 
-/// A sum that fades over about a second.
+/// Exponentially decaying sum with a time constant of one second.
 class fading_sum {
 public:
     void add(double amount, instant now);
@@ -26,23 +26,23 @@
     instant m_at{};
 };
 
-/// Requests of one route, told apart by whether they can still be in time.
+/// Requests of one route, grouped by whether they can still meet their latency objective.
 struct admission_class {
     std::string route;
-    bool expired = false; ///< its objective had passed when it came
+    bool expired = false; ///< the objective had passed on arrival
 
     auto operator<=>(const admission_class &) const = default;
 };
 
-/// Measures at the node that takes callers' requests which share of them is taken in the end,
-/// whichever targets were tried. One target can't tell: all rejections fall on the last that is
-/// tried. Not thread safe.
+/// Measures, at the node that receives callers' requests, the share that is finally accepted by
+/// any of the targets tried. A single target can't measure this, since a rejection is final only at
+/// the last target tried. Not thread safe.
 class admission_meter {
 public:
     void note_offered(const admission_class &request, instant now);
     /// Precondition: the request was noted as offered.
     void note_rejected(const admission_class &request, instant now);
-    /// Share of such requests that was taken over the last seconds.
+    /// Share of such requests that was accepted recently; 1 while too few were offered.
     double share(const admission_class &request, instant now) const;
     std::size_t size() const { return m_classes.size(); }
 
@@ -54,15 +54,15 @@
     std::map<admission_class, counts> m_classes;
 };
 
-/// Collects at the node beside a target what the nodes that send requests here have measured. Not
-/// thread safe.
+/// Aggregates, at the node beside a target, the shares measured by the nodes that send requests to
+/// it. Not thread safe.
 class admission_board {
 public:
-    /// A direct request came, whose sender measured `share` for such requests.
+    /// Records a direct request whose sender measured `share` for such requests.
     void note(const admission_class &request, int priority, double share, instant now);
-    /// Mean of what was told for requests that are at least as urgent as `priority`. Requests of
-    /// that priority at another service whose nested calls come here are to be shed alike: less
-    /// urgent ones here have given way already.
+    /// Mean of the reported shares of requests that are at least as urgent as `priority`. A service
+    /// whose requests of that priority make nested calls here has to shed the same share; less
+    /// urgent requests are excluded, because they have been shed here already.
     admission_level level(int priority, instant now) const;
     std::size_t size() const { return m_classes.size(); }
 
--- a/src/coordination/admission.cpp
+++ b/src/coordination/admission.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-constexpr duration least_retry_after = std::chrono::milliseconds(50);
+constexpr duration min_retry_after = std::chrono::milliseconds(50);
 constexpr int smoothing = 8;
-/// A single key may hold this part of the queue, so that a hot one leaves room for the others.
+/// A single key may fill 1 / key_part_of_queue of the queue, so that a hot key leaves room for
+/// others.
 constexpr std::size_t key_part_of_queue = 2;
 
 } // namespace
@@ -28,7 +29,7 @@
     const auto own = m_by_key.find(request.key_hash);
     const std::size_t own_queued = own == m_by_key.end() ? 0 : own->second.size();
     const std::size_t own_limit = m_limits.queue / key_part_of_queue + 1;
-    // What can't finish in time would only take a slot from one that can.
+    // A request that can't finish before its deadline would only take a slot from one that can.
     const bool too_late = now + expected_wait() + m_service_time > request.deadline;
     if (m_queued >= m_limits.queue || own_queued >= own_limit || too_late) {
         return verdict::refused;
@@ -109,7 +110,7 @@
 }
 
 duration admission::retry_after() const {
-    return std::max(least_retry_after, expected_wait());
+    return std::max(min_retry_after, expected_wait());
 }
 
 } // namespace peppertack
--- a/src/coordination/admission_level.cpp
+++ b/src/coordination/admission_level.cpp
@@ -7,13 +7,12 @@
 
 namespace {
 
-constexpr std::chrono::seconds memory(1);
-/// Of fewer requests the share that was taken is chance.
-constexpr double least_requests = 2;
-/// Beyond so many classes, those that nobody asks for any more are forgotten: each change of the
-/// table may name new routes.
-constexpr std::size_t most_classes = 64;
-constexpr double forgotten_below = 0.01;
+constexpr std::chrono::seconds decay_time(1);
+/// The accepted share of fewer requests is not significant.
+constexpr double min_requests = 2;
+/// At this number of classes the unused ones are evicted: each routing table may add routes.
+constexpr std::size_t max_classes = 64;
+constexpr double eviction_threshold = 0.01;
 
 } // namespace
 
@@ -23,14 +22,14 @@
 }
 
 double fading_sum::at_time(instant now) const {
-    const double passed = std::chrono::duration<double>(now - m_at) / memory;
+    const double passed = std::chrono::duration<double>(now - m_at) / decay_time;
     return m_sum * std::exp(-std::max(passed, 0.0));
 }
 
 void admission_meter::note_offered(const admission_class &request, instant now) {
-    if (m_classes.size() >= most_classes) {
+    if (m_classes.size() >= max_classes) {
         std::erase_if(m_classes, [now](const auto &known) {
-            return known.second.offered.at_time(now) < forgotten_below;
+            return known.second.offered.at_time(now) < eviction_threshold;
         });
     }
     m_classes[request].offered.add(1, now);
@@ -49,7 +48,7 @@
         return 1;
     }
     const double offered = known->second.offered.at_time(now);
-    if (offered < least_requests) {
+    if (offered < min_requests) {
         return 1;
     }
     return std::clamp(1 - known->second.rejected.at_time(now) / offered, 0.0, 1.0);
@@ -57,9 +56,9 @@
 
 void admission_board::note(const admission_class &request, int priority, double share,
                            instant now) {
-    if (m_classes.size() >= most_classes) {
+    if (m_classes.size() >= max_classes) {
         std::erase_if(m_classes, [now](const auto &known) {
-            return known.second.requests.at_time(now) < forgotten_below;
+            return known.second.requests.at_time(now) < eviction_threshold;
         });
     }
     record &known = m_classes[request];
@@ -77,7 +76,7 @@
             shares += known.shares.at_time(now);
         }
     }
-    return requests < least_requests ? 1 : shares / requests;
+    return requests < min_requests ? 1 : shares / requests;
 }
 
 admission_level admission_board::level(int priority, instant now) const {
--- a/src/coordination/dependency_admission.cpp
+++ b/src/coordination/dependency_admission.cpp
@@ -6,57 +6,58 @@
 
 namespace {
 
-/// Weight of the latest answer is one part in so many: targets of one service differ in load.
+/// The latest answer has a weight of 1 / smoothing, since the targets of a service differ in load.
 constexpr double smoothing = 16;
 constexpr duration window = std::chrono::milliseconds(200);
-/// Rejections up to this share of the nested calls of a window are chance.
+/// Rejections up to this share of the nested calls of a window don't lower the admitted share.
 constexpr double tolerated = 0.04;
-constexpr double increase = 0.05; ///< of the share, with each window without rejections
-/// Some requests always pass: only their calls tell that there is room again.
-constexpr double least_share = 0.05;
-/// Without calls the level says less and less, and is forgotten after so long.
-constexpr std::chrono::seconds forgotten_after(2);
+constexpr double increase = 0.05; ///< of the share, per window with tolerated rejections
+/// Some requests are always admitted: only their calls show when capacity is available again.
+constexpr double min_share = 0.05;
+/// Without calls a level loses weight linearly and expires after this time.
+constexpr std::chrono::seconds level_lifetime(2);
 
-/// With a higher level than this hardly any workload gains by admitting all.
+/// At higher levels hardly any workload gains from admitting all requests.
 constexpr double open_below = 0.4;
-/// All requests are admitted for so long before their outcome is compared.
+/// All requests are admitted for this long before their outcome is compared.
 constexpr duration trial = std::chrono::milliseconds(500);
-constexpr unsigned int least_runs = 10;
+constexpr unsigned int min_runs = 10;
 constexpr std::chrono::seconds review_interval(4);
-/// After a stretch of open admission shedding goes on for so long, to tell the level anew: calls
-/// that are expendable leave more to direct requests.
+/// After a period of open admission, requests are shed for this long to measure the level again:
+/// expendable calls leave more capacity to direct requests, which raises the reported level.
 constexpr duration shedding_trial = std::chrono::milliseconds(1500);
 
-void follow(double &known, double told) {
-    known += (told - known) / smoothing;
+void update_average(double &average, double sample) {
+    average += (sample - average) / smoothing;
 }
 
 } // namespace
 
-void dependency_admission::note_taken(const std::string &route, const admission_level &told,
+void dependency_admission::note_taken(const std::string &route, const admission_level &reported,
                                       instant now) {
-    note(route, told, false, now);
+    note(route, reported, false, now);
 }
 
 void dependency_admission::note_rejected(const std::string &route,
-                                         const std::optional<admission_level> &told, instant now) {
-    if (told || m_routes.count(route) != 0) {
-        note(route, told, true, now);
+                                         const std::optional<admission_level> &reported,
+                                         instant now) {
+    if (reported || m_routes.count(route) != 0) {
+        note(route, reported, true, now);
     }
 }
 
 void dependency_admission::note(const std::string &route,
-                                const std::optional<admission_level> &told, bool rejected,
+                                const std::optional<admission_level> &reported, bool rejected,
                                 instant now) {
     dependency &known = m_routes[route];
-    if (now >= known.heard + forgotten_after) {
+    if (now >= known.last_report + level_lifetime) {
         known = {};
         known.window_end = now + window;
     }
-    known.heard = now;
-    if (told) {
-        follow(known.told.fresh, told->fresh);
-        follow(known.told.expired, told->expired);
+    known.last_report = now;
+    if (reported) {
+        update_average(known.reported.fresh, reported->fresh);
+        update_average(known.reported.expired, reported->expired);
     }
     ++known.calls;
     known.rejected += rejected ? 1 : 0;
@@ -65,22 +66,22 @@
     }
     const double part = static_cast<double>(known.rejected) / known.calls;
     known.share = part > tolerated ? known.share * (1 - part) : known.share + increase;
-    known.share = std::clamp(known.share, least_share, 1.0);
+    known.share = std::clamp(known.share, min_share, 1.0);
     known.calls = 0;
     known.rejected = 0;
     known.window_end = now + window;
 }
 
 double dependency_admission::fresh_share(const dependency &known, instant now) {
-    const double age = std::chrono::duration<double>(now - known.heard) / forgotten_after;
-    return std::max(std::min(known.told.fresh, known.share), least_share) + age;
+    const double age = std::chrono::duration<double>(now - known.last_report) / level_lifetime;
+    return std::max(std::min(known.reported.fresh, known.share), min_share) + age;
 }
 
 admission_level dependency_admission::level(instant now) const {
     admission_level least;
     for (const auto &[route, known] : m_routes) {
-        const double age = std::chrono::duration<double>(now - known.heard) / forgotten_after;
-        const double expired = std::min(known.told.expired, known.share);
+        const double age = std::chrono::duration<double>(now - known.last_report) / level_lifetime;
+        const double expired = std::min(known.reported.expired, known.share);
         least.fresh = std::min(least.fresh, fresh_share(known, now));
         least.expired = std::min(least.expired, expired + age);
     }
@@ -119,10 +120,10 @@
         }
         return;
     }
-    if (m_runs < least_runs && now < m_entered + review_interval) {
+    if (m_runs < min_runs && now < m_entered + review_interval) {
         return;
     }
-    const bool better = m_runs >= least_runs && m_succeeded > m_level * m_runs;
+    const bool better = m_runs >= min_runs && m_succeeded > m_level * m_runs;
     if (better && now < m_entered + review_interval) {
         m_review_at = m_entered + review_interval;
     } else {
--- a/src/coordination/nested_call_detector.cpp
+++ b/src/coordination/nested_call_detector.cpp
@@ -6,15 +6,16 @@
 
 namespace {
 
-/// Counts are halved so often: a table may give a route to callers, or take it from them.
-constexpr std::chrono::seconds fade_interval(5);
-/// Of fewer requests it may be chance that one service sent them all.
-constexpr double least_requests = 20;
-/// Requests of another service than the caller's among those for other routes, at least: where
-/// only one service sends anything here, calls can't be told.
-constexpr double least_others = 0.2;
-/// A route of calls may be asked for now and then to see which table is in force.
-constexpr double most_strays = 0.02;
+/// Counts are halved at this interval, since a new routing table may change who uses a route.
+constexpr std::chrono::seconds decay_interval(5);
+/// With fewer requests a single sender may be coincidence.
+constexpr double min_requests = 20;
+/// Minimum share of other services among the requests for other routes: where only one service
+/// sends requests, nested calls can't be distinguished.
+constexpr double min_share_of_others = 0.2;
+/// Tolerated share of other senders: a route of calls may be requested occasionally to see which
+/// routing table is in force.
+constexpr double max_stray_share = 0.02;
 
 double total(const std::map<std::string, double> &counts) {
     double sum = 0;
@@ -31,11 +32,11 @@
 
 } // namespace
 
-void nested_call_detector::fade(instant now) {
-    if (now < m_faded + fade_interval) {
+void nested_call_detector::decay(instant now) {
+    if (now < m_decayed + decay_interval) {
         return;
     }
-    m_faded = now;
+    m_decayed = now;
     for (auto &[route, callers] : m_routes) {
         for (auto &[service, count] : callers) {
             count /= 2;
@@ -46,7 +47,7 @@
 }
 
 void nested_call_detector::note(const std::string &route, const std::string &caller, instant now) {
-    fade(now);
+    decay(now);
     m_routes[route][caller] += 1;
 }
 
@@ -59,7 +60,7 @@
         std::max_element(own->second.begin(), own->second.end(),
                          [](const auto &a, const auto &b) { return a.second < b.second; });
     const double all = total(own->second);
-    if (all < least_requests || all - most->second > most_strays * all) {
+    if (all < min_requests || all - most->second > max_stray_share * all) {
         return std::nullopt;
     }
     double elsewhere = 0;
@@ -69,7 +70,7 @@
         same_caller += name == route ? 0 : count_of(callers, most->first);
     }
     const bool others_ask =
-        elsewhere >= least_requests && elsewhere - same_caller >= least_others * elsewhere;
+        elsewhere >= min_requests && elsewhere - same_caller >= min_share_of_others * elsewhere;
     return others_ask ? std::optional(most->first) : std::nullopt;
 }
 
--- a/tests/coordination/dependency_admission_test.cpp
+++ b/tests/coordination/dependency_admission_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr instant start(1000s);
 
-/// Actions in the order of their times.
+/// Event queue in virtual time; runs actions in the order of their times.
 class timeline {
 public:
     void at(instant when, std::function<void()> action) {
@@ -46,12 +46,12 @@
     std::uint64_t m_last = 0;
 };
 
-/// A target behind its queue. Work is held in a slot from `begin` to `end`.
+/// A target behind its `work_queue`. A request occupies a slot from `begin` to `end`.
 class queued_target {
 public:
     struct request {
         work_queue::item item;
-        std::function<void()> begin; ///< calls `end` when the work is over
+        std::function<void()> begin; ///< has to call `end` when the work is done
         std::function<void()> rejected;
     };
     queued_target(timeline &time, std::uint32_t slots) : m_time(time), m_queue({.limit = slots}) {}
@@ -82,8 +82,8 @@
     std::map<std::uint64_t, request> m_waiting;
 };
 
-/// Lookups at a portal call a desk, which also takes bookings. Callers that are rejected, and
-/// lookups that fail, come back twice.
+/// Lookups at a portal service call a desk service, which also serves bookings. Rejected callers
+/// and failed lookups retry twice.
 class two_tiers {
 public:
     explicit two_tiers(bool admission) : m_admission(admission) {}
@@ -91,7 +91,7 @@
     struct counts {
         double asked = 0;
         double in_time = 0;
-        double wasted = 0; ///< runs that failed with a nested call
+        double wasted = 0; ///< runs that failed because a nested call was rejected
         double share() const { return in_time / asked; }
     };
     std::map<std::string, counts> of;
@@ -108,7 +108,7 @@
                          << ", wasted " << count.wasted);
         }
     }
-    void forget() { of.clear(); }
+    void reset_counts() { of.clear(); }
 
 private:
     static constexpr duration call_work = 22ms;
@@ -130,7 +130,7 @@
                 .objective = objective,
                 .deadline = objective + 1500ms};
     }
-    void come_back(int tries, duration pause, std::function<void(int)> again) {
+    void retry_later(int tries, duration pause, std::function<void(int)> again) {
         if (tries + 1 < most_tries) {
             m_time.at(m_time.now() + pause,
                       [again = std::move(again), tries] { again(tries + 1); });
@@ -157,7 +157,7 @@
                       .rejected =
                           [this, kind, tries, objective] {
                               m_meter.note_rejected(kind, m_time.now());
-                              come_back(tries, 400ms, [this, objective](int next) {
+                              retry_later(tries, 400ms, [this, objective](int next) {
                                   try_booking(next, objective);
                               });
                           }});
@@ -169,7 +169,7 @@
     }
     void try_lookup(int tries, instant objective) {
         const auto again = [this, tries, objective] {
-            come_back(tries, 300ms, [this, objective](int next) { try_lookup(next, objective); });
+            retry_later(tries, 300ms, [this, objective](int next) { try_lookup(next, objective); });
         };
         if (m_admission &&
             !m_dependencies.admits(objective <= m_time.now(), draw(), m_time.now())) {
@@ -236,19 +236,19 @@
     dependency_admission m_dependencies;
 };
 
-constexpr double lookup_call_work = 0.7 * 2 * 0.022; ///< slot seconds at the desk
+constexpr double lookup_call_work = 0.7 * 2 * 0.022; ///< slot seconds at the desk per lookup
 constexpr double booking_work = 0.150;
 
 } // namespace
 
-// Guards against a metastable overload: nested calls are rejected after their runs have worked, and
-// the callers of the failed runs come back.
-TEST_CASE("requests are shed before their target works when a called service lost half its room") {
+// Guards against metastable overload: nested calls are rejected after the parent's target has
+// worked on them, and the callers of the failed requests retry.
+TEST_CASE("requests are shed before their target works when a called service lost half its slots") {
     two_tiers with(true);
     two_tiers without(false);
     for (two_tiers *tiers : {&with, &without}) {
         tiers->run(5s);
-        tiers->forget();
+        tiers->reset_counts();
         tiers->set_desk(34);
         tiers->run(30s);
     }
@@ -264,32 +264,32 @@
 }
 
 // Guards against shedding that outlasts its cause.
-TEST_CASE("after the called service has its room back all are admitted again") {
+TEST_CASE("all requests are admitted again after the called service has its slots back") {
     two_tiers tiers(true);
     tiers.run(3s);
     tiers.set_desk(20);
     tiers.run(10s);
     tiers.set_desk(68);
     tiers.run(5s);
-    tiers.forget();
+    tiers.reset_counts();
     tiers.run(10s);
     CHECK(tiers.of["lookup"].share() >= 0.95);
     CHECK(tiers.of["booking"].share() >= 0.95);
 }
 
-// Guards against rejecting requests that make no calls for the sake of those that do.
-TEST_CASE("all are admitted where little is left of the called service") {
+// Guards against shedding requests that make no calls because of a service that only others call.
+TEST_CASE("all requests are admitted where the called service has hardly any slots left") {
     two_tiers tiers(true);
     tiers.run(3s);
     tiers.set_desk(5);
     tiers.run(5s);
-    tiers.forget();
+    tiers.reset_counts();
     tiers.run(30s);
-    CHECK(tiers.of["lookup"].share() >= 0.2); // 0.3 of them make no calls
+    CHECK(tiers.of["lookup"].share() >= 0.2); // 0.3 of the lookups make no calls
     CHECK(tiers.of["booking"].in_time * booking_work >= 0.6 * 5 * 30);
 }
 
-TEST_CASE("rejected nested calls lower the admitted share, and their end raises it") {
+TEST_CASE("rejected nested calls lower the admitted share, and accepted ones raise it again") {
     dependency_admission admission;
     CHECK(admission.admits(false, 0.99, start));
     instant now = start;
@@ -305,13 +305,13 @@
     CHECK(admission.level(now).fresh == 1);
 }
 
-TEST_CASE("a rejected request on another route says nothing of nested calls") {
+TEST_CASE("a rejected request on a route without nested calls does not lower the admitted share") {
     dependency_admission admission;
     admission.note_rejected("booking", std::nullopt, start);
     CHECK(admission.level(start).fresh == 1);
 }
 
-TEST_CASE("a level that is not told any more is forgotten") {
+TEST_CASE("a level that is no longer reported expires") {
     dependency_admission admission;
     for (int i = 0; i < 100; ++i) {
         admission.note_taken("call", {.fresh = 0.3, .expired = 0}, start);
@@ -323,8 +323,8 @@
     CHECK(admission.level(start + 3s) == admission_level{});
 }
 
-// Guards against memory that grows with each change of the table.
-TEST_CASE("routes that nobody asks for any more are forgotten") {
+// Guards against memory growth with each change of the routing table.
+TEST_CASE("routes that are no longer requested are evicted") {
     admission_meter meter;
     admission_board board;
     instant now = start;
@@ -337,7 +337,7 @@
     CHECK(board.size() <= 100);
 }
 
-TEST_CASE("the share taken is the mean of what all senders measured") {
+TEST_CASE("the accepted share is the mean of the shares that all senders measured") {
     admission_meter meter;
     const admission_class fresh{"booking", false};
     for (int i = 0; i < 20; ++i) {
@@ -352,7 +352,8 @@
     for (int i = 0; i < 10; ++i) {
         board.note(fresh, 1, 0.75, start);
         board.note(fresh, 1, 0.25, start);
-        board.note({"report", false}, 3, 0, start); // less urgent: has given way already
+        board.note({"report", false}, 3, 0,
+                   start); // less urgent: excluded, since it has been shed already
     }
     CHECK(board.level(2, start).fresh == doctest::Approx(0.5));
     CHECK(board.level(0, start).fresh == 1);
