--- a/include/peppertack/coordination/rate_limit.hpp
+++ b/include/peppertack/coordination/rate_limit.hpp
@@ -7,17 +7,18 @@
 
 namespace peppertack {
 
-/// Token bucket for what a target is given while it names a limit. Not thread safe.
+/// Token bucket that limits the requests sent to a target while the target announces a rate limit.
+/// Not thread safe.
 class rate_limit {
 public:
-    /// Requests a second from now on; nothing: any number. Precondition: above zero.
+    /// Sets the limit in requests per second; none: unlimited. Precondition: above zero.
     void set(std::optional<double> per_second, instant now);
     std::optional<double> per_second() const { return m_per_second; }
-    /// Whether one more request may be given now.
+    /// Whether a request may be sent now.
     bool ready(instant now) const { return !m_per_second || tokens(now) >= 1; }
-    /// One more request is given, ready or not.
+    /// Takes a token for a request that is sent, whether or not one is available.
     void take(instant now);
-    /// Until the request that is in that place among those that wait, from 1 on, may be given.
+    /// Time until the request at `place` in the queue, counted from 1, may be sent.
     duration wait(std::size_t place, instant now) const;
 
 private:
@@ -25,7 +26,7 @@
     double tokens(instant now) const;
 
     std::optional<double> m_per_second;
-    double m_tokens = 0; ///< at `m_at`; below zero for what was given beyond the limit
+    double m_tokens = 0; ///< at `m_at`; negative after requests beyond the limit
     instant m_at{};
 };
 
--- a/include/peppertack/coordination/recent_service.hpp
+++ b/include/peppertack/coordination/recent_service.hpp
@@ -8,52 +8,53 @@
 
 namespace peppertack {
 
-/// What a queue has done of late for each kind of request, fading over two seconds.
+/// Tracks the share of requests served for each kind, with exponential decay over two seconds.
 ///
-/// It answers a target that can't do all it is asked for by kinds of the same priority. By the
-/// earliest objective alone the one with the shortest objective is served whole and the other
-/// starves: at three times the capacity 99 in 100 of the short requests were served and 1 in 100 of
-/// the long ones; now 43 and 33 (virtual time). Not thread safe.
+/// Keeps kinds of the same priority from starving each other while a target is overloaded. By
+/// earliest objective alone the kind with the shortest objective is served in full and the other
+/// starves: in virtual time, at three times the capacity, 99% of the short requests and 1% of the
+/// long ones were served; with fair shares 43% and 33%. Not thread safe.
 class recent_service {
 public:
     struct request_kind {
-        /// Made by a caller, not a nested call, which goes before all else.
+        /// Sent by a caller; false for a nested call, which goes before all other requests.
         bool direct = true;
-        /// Its objective had passed when it came: its caller was refused before. What can still be
-        /// in time goes first, whatever its priority.
+        /// The objective had passed on arrival, because the caller was refused before. Requests
+        /// that can still meet their objective go first, whatever their priority.
         bool late = false;
         int priority = 0; ///< 0 is the most urgent
-        std::string name; ///< a table may give it another priority while its requests wait
+        std::string name; ///< its priority may change with the routing table while requests wait
 
         auto operator<=>(const request_kind &) const = default;
     };
 
-    /// A request of `kind` came.
+    /// Records an incoming request of `kind`.
     void note_asked(const request_kind &kind, instant now);
-    /// A request of `kind` that came was refused, at once or after a wait.
+    /// Records that an incoming request of `kind` was refused, immediately or after a wait.
     void note_refused(const request_kind &kind, instant now);
-    /// A request of `kind` was taken, which usually keeps a slot for `work`.
+    /// Records an accepted request of `kind` that is expected to occupy a slot for `work`.
     void note_taken(const request_kind &kind, duration work, instant now);
 
-    /// Whether `kind` was served a clearly larger part of what it asked for than another kind of
-    /// the same priority.
+    /// Whether a clearly larger share of `kind` was served than of another kind of the same
+    /// priority.
     bool over_served(const request_kind &kind, instant now) const;
-    /// Slots that are kept busy by kinds that go before `kind`: those in time if it is late, more
-    /// urgent ones, and where it is over_served those of its priority that are not.
+    /// Average number of slots occupied by kinds that go before `kind`: nested calls, requests in
+    /// time if it is late, more urgent ones, and, if it is over-served, those of its rank that are
+    /// not.
     double slots_before(const request_kind &kind, instant now) const;
 
 private:
-    /// A sum that fades.
-    struct fading {
+    /// Exponentially decaying sum.
+    struct decaying_sum {
         double sum = 0;
         instant at{};
         double at_time(instant now) const;
         void add(double amount, instant now);
     };
     struct record {
-        fading asked;
-        fading refused;
-        fading work; ///< microseconds
+        decaying_sum asked;
+        decaying_sum refused;
+        decaying_sum work; ///< microseconds
     };
 
     static double part_served(const record &kind, instant now);
--- a/include/peppertack/coordination/retry_budget.hpp
+++ b/include/peppertack/coordination/retry_budget.hpp
@@ -5,27 +5,28 @@
 
 namespace peppertack {
 
-/// Part of a fleet's saved-up retries that each of `nodes` may have, at least one and at most
-/// `most`: together they stay below `slack`, however many nodes there are.
+/// Retries that each of `nodes` may accumulate: an equal part of the fleet's `slack`, clamped to
+/// the range from 1 to `most`, so that the fleet's burst of retries does not grow with the number
+/// of nodes.
 inline double saved_retries(double slack, std::size_t nodes, double most) {
     const double part = slack / static_cast<double>(std::max<std::size_t>(nodes, 1));
     return std::clamp(part, 1.0, most);
 }
 
-/// Bounds retries to a share of the requests, so that a failing fleet is not loaded further by its
-/// own retries. Not thread safe.
+/// Token bucket that bounds retries to a share of the requests, so that retries don't add to the
+/// overload of a failing fleet. Not thread safe.
 class retry_budget {
 public:
     struct options {
-        double share = 0.1; ///< retries earned by each request
-        double most = 20;   ///< retries that can be saved up
+        double share = 0.1; ///< tokens added per request
+        double most = 20;   ///< maximum number of tokens
     };
 
     explicit retry_budget(options settings) : m_options(settings), m_tokens(settings.most) {}
     retry_budget() : retry_budget(options{}) {}
 
     void note_request() { m_tokens = std::min(m_options.most, m_tokens + m_options.share); }
-    /// Takes one retry. False if none is left.
+    /// Takes a token for one retry. Returns false if none is left.
     bool take() {
         if (m_tokens < 1) {
             return false;
@@ -34,7 +35,7 @@
         return true;
     }
     double tokens() const { return m_tokens; }
-    /// From now on no more than `most` are saved up.
+    /// Sets the maximum number of tokens and discards those above it.
     void set_most(double most) {
         m_options.most = most;
         m_tokens = std::min(m_tokens, most);
--- a/include/peppertack/coordination/returning_callers.hpp
+++ b/include/peppertack/coordination/returning_callers.hpp
@@ -8,27 +8,28 @@
 
 namespace peppertack {
 
-/// Remembers callers that were refused, so that a request which comes back is known as such.
+/// Recognises retries of refused callers.
 ///
-/// A caller that comes back has used up part or all of its latency objective. Taken for a new one
-/// it is served in place of one that could still be in time: a target that was asked for twice what
-/// it can do answered 36 in 100 late, and none since (virtual time, callers that come back twice).
-/// Each attempt has an id of its own, but the same last moment up to which its caller waits; a new
-/// caller of the same patience has a later one than any that was refused before. Not thread safe.
+/// A retry has used up part or all of its latency objective. Treated as a new request it would be
+/// served in place of one that can still meet its objective: in virtual time, at twice the capacity
+/// and with two retries per caller, 36% of the answers were late without recognition and none with
+/// it. Attempts have different ids but the same deadline of the caller; a new caller with the same
+/// time-out has a later deadline than any that was refused before. Not thread safe.
 class returning_callers {
 public:
-    /// A request whose caller first asked at `asked`, and waits until `deadline`, was refused with
-    /// a time to come back.
+    /// Records that a request was refused with a retry time; its caller first sent it at `asked`
+    /// and waits until `deadline`.
     void note(const std::string &route, instant deadline, instant asked, instant now);
-    /// When the caller of a request first asked, if it was refused before and that is over 60 ms
-    /// ago; it is forgotten then.
+    /// Returns when the caller of a request first sent it, if it was refused before and first sent
+    /// more than 60 ms ago. Removes the record.
     std::optional<instant> take(const std::string &route, instant deadline, instant now);
 
     std::size_t size() const { return m_size; }
 
 private:
-    using by_deadline = std::multimap<instant, instant>; ///< to when the caller first asked
-    void forget_gone(by_deadline &callers, instant now);
+    using by_deadline =
+        std::multimap<instant, instant>; ///< deadline to the time of the first attempt
+    void remove_expired(by_deadline &callers, instant now);
 
     std::map<std::string, by_deadline> m_routes;
     std::size_t m_size = 0;
--- a/include/peppertack/coordination/work_queue.hpp
+++ b/include/peppertack/coordination/work_queue.hpp
@@ -12,38 +12,38 @@
 
 namespace peppertack {
 
-/// Decides which requests a target is given and in which order. The node beside a target is its
-/// only caller, so it knows exactly what is in flight there.
+/// Admission control and scheduling for one target. The node beside a target is its only caller, so
+/// it knows exactly what is in flight there.
 ///
-/// It answers loads beyond what the target can do: a burst, a hot neighbourhood of keys, a target
-/// that turned slow. An answer after its latency objective is worth a fraction, so what can still
-/// meet its objective goes first, then priority, then kinds that were refused more often than
-/// others of their priority, then the earliest objective, which puts short calls of running
-/// requests before long ones. What can't be served in time is refused at once. Not thread safe.
+/// Handles load beyond the target's capacity: a burst, a hot range of keys, a target that became
+/// slow. An answer after its latency objective is worth a fraction, so requests that can still meet
+/// their objective go first, then by priority, then kinds that were refused more often than others
+/// of their priority, then by earliest objective, which puts short nested calls before long
+/// requests. A request that can't be served in time is refused immediately. Not thread safe.
 class work_queue {
 public:
     struct options {
-        std::uint32_t limit = 16; ///< requests in flight; the target's own number of slots
+        std::uint32_t limit = 16; ///< requests in flight; the target's number of slots
         std::size_t most_waiting = 512;
-        /// A wait up to this is allowed whatever the objective: one that is refused comes back no
-        /// sooner. It matters most for short calls that running requests make: each that is refused
-        /// wastes what its parent has done so far.
+        /// A request may wait this long whatever its objective, since the caller of a refused one
+        /// retries no sooner. This matters most for short nested calls: each refusal wastes the
+        /// work of the parent request.
         duration usual_return = std::chrono::milliseconds(300);
-        /// A queue that has not become shorter than a part of the slots for so long is a standing
-        /// one: it makes every answer later and none more.
+        /// A queue that has not been shorter than a fraction of the slots for this long is a
+        /// standing queue: it adds latency without adding throughput.
         duration standing_after = std::chrono::milliseconds(300);
-        bool drain_standing = true; ///< a standing queue is made shorter
-        bool nested_first = true;   ///< nested calls go before all else
-        bool equal_shares = true;   ///< of one priority what was rejected more goes first
+        bool drain_standing = true; ///< standing queues are shortened
+        bool nested_first = true;   ///< nested calls go before all other requests
+        bool equal_shares = true;   ///< within a priority, kinds that were refused more go first
     };
     struct item {
         std::uint64_t id = 0;
-        std::string kind;    ///< requests of one kind take alike long
-        bool nested = false; ///< called by a running request, whose work a rejection would waste
+        std::string kind;    ///< requests of one kind have similar service times
+        bool nested = false; ///< called by a running request, whose work a refusal would waste
         int priority = 0;    ///< 0 is the most urgent
         instant arrived{};
-        instant objective{}; ///< an answer by then earns its full worth
-        instant deadline{};  ///< nobody waits beyond it
+        instant objective{}; ///< latency objective: a later answer is worth a fraction
+        instant deadline{};  ///< the caller does not wait longer
     };
     enum class verdict : std::uint8_t { start, wait, refuse };
 
@@ -52,41 +52,42 @@
     /// Precondition: `limit` is above 0.
     void set_limit(std::uint32_t limit) { m_options.limit = limit; }
     std::uint32_t limit() const { return m_options.limit; }
-    /// Requests a second that the target takes by its own word; nothing: as many as its slots do.
-    /// Precondition: above zero.
+    /// Sets the limit in requests per second that the target announced; none: limited by slots
+    /// only. Precondition: above zero.
     void set_rate(std::optional<double> per_second, instant now) { m_rate.set(per_second, now); }
     std::optional<double> rate() const { return m_rate.per_second(); }
-    /// Slots that are busy on average while the target does all that it can, 1 at least.
+    /// Slots that are busy on average at full capacity, at least 1.
     std::uint32_t usable_slots() const;
-    /// Requests a second that the target can do, by the times it takes and the rate it names.
+    /// Capacity in requests per second, from the mean service time and the announced rate limit.
     double capacity() const;
-    /// Whether `offer` would not refuse the request now.
+    /// Whether `offer` would start or queue the request now.
     bool would_take(const item &request, instant now) const;
     /// A verdict of `start` counts the request as in flight.
     verdict offer(const item &request, instant now);
-    /// The next request to start, if there is room; it counts as in flight. Those that have no
-    /// chance any more are moved to `hopeless`, in order to be refused.
-    std::optional<std::uint64_t> next(instant now, std::vector<std::uint64_t> &hopeless);
-    /// A request in flight has ended. `took` is given if it ran to its end.
+    /// Returns the next request to start, if there is capacity, and counts it as in flight.
+    /// Requests that can no longer be answered in time are moved to `infeasible`; the caller
+    /// refuses them.
+    std::optional<std::uint64_t> next(instant now, std::vector<std::uint64_t> &infeasible);
+    /// Records the end of a request in flight; `took` is set if it ran to completion.
     void finish(const std::string &kind, std::optional<duration> took);
-    /// Takes a waiting request out. False if it does not wait.
+    /// Removes a waiting request. Returns false if it is not waiting.
     bool withdraw(std::uint64_t id);
     std::vector<std::uint64_t> withdraw_all();
 
     std::uint32_t in_flight() const { return m_in_flight; }
     std::size_t waiting() const { return m_waiting.size(); }
-    /// Requests that ran to their end, ever.
+    /// Total number of requests that ran to completion.
     std::uint64_t finished() const { return m_finished; }
-    /// Usual time of a request of `kind` at the target, once it has started.
+    /// Average service time of requests of `kind`; the overall mean if none has completed.
     duration service_time(const std::string &kind) const;
-    /// The same, if one has ended.
+    /// Average service time of requests of `kind`; none if none has completed.
     std::optional<duration> known_time(const std::string &kind) const;
-    /// Until the slots have done what waits now.
+    /// Time to drain the requests that wait now.
     duration backlog() const;
     duration mean_service_time() const { return m_mean; }
-    /// How long a request that came now would wait.
+    /// Time that a request arriving now would wait.
     duration expected_wait(const item &request, instant now) const;
-    /// When there will be room again, as far as can be told.
+    /// Estimated time until the target has capacity again.
     duration retry_after() const;
 
 private:
@@ -108,9 +109,9 @@
     std::uint32_t m_in_flight = 0;
     std::uint64_t m_finished = 0;
     std::vector<item> m_waiting;     ///< in order of arrival
-    std::size_t m_least_waiting = 0; ///< since the present interval began
+    std::size_t m_least_waiting = 0; ///< since the current interval began
     instant m_interval_end{};
-    double m_wait_share = 1; ///< part of the time to spare that a request may be made to wait
+    double m_wait_share = 1; ///< fraction of its slack that a request may wait
     std::unordered_map<std::string, duration> m_by_kind;
     duration m_mean = std::chrono::milliseconds(50);
 };
--- a/src/coordination/rate_limit.cpp
+++ b/src/coordination/rate_limit.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// What may be given at once after a pause, as a part of what is allowed in a second: arrivals are
-/// uneven, and a bucket without depth would lose a part of the rate with each gap.
+/// Depth of the bucket, in seconds at the limit. Arrivals are uneven, and a bucket without depth
+/// would lose a part of the rate with each gap.
 constexpr double burst_seconds = 0.25;
 
 } // namespace
--- a/src/coordination/recent_service.cpp
+++ b/src/coordination/recent_service.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-/// A burst lasts for seconds; what was done before it says nothing of it.
-constexpr std::chrono::seconds memory(2);
-/// Parts served that differ by less are left to the earliest objective, which wastes less work.
+/// Bursts last for seconds, and load before a burst does not predict it.
+constexpr std::chrono::seconds decay_time(2);
+/// Smaller differences in the served share are left to the earliest objective, which wastes less
+/// work.
 constexpr double fair_margin = 0.1;
-/// Of fewer requests the part that was served is chance.
-constexpr double least_asked = 8;
-/// Beyond so many kinds, those that nobody asks for any more are forgotten: each decision looks at
-/// all of them.
-constexpr std::size_t most_kinds = 64;
-constexpr double forgotten_below = 0.01;
+/// The served share of fewer requests is not significant.
+constexpr double min_asked = 8;
+/// At this number of kinds the unused ones are evicted: each decision iterates over all of them.
+constexpr std::size_t max_kinds = 64;
+constexpr double eviction_threshold = 0.01;
 
 bool same_rank(const recent_service::request_kind &a, const recent_service::request_kind &b) {
     return a.direct == b.direct && a.late == b.late && a.priority == b.priority;
@@ -29,25 +29,25 @@
 
 } // namespace
 
-double recent_service::fading::at_time(instant now) const {
-    const double passed = std::chrono::duration<double>(now - at) / memory;
+double recent_service::decaying_sum::at_time(instant now) const {
+    const double passed = std::chrono::duration<double>(now - at) / decay_time;
     return sum * std::exp(-std::max(passed, 0.0));
 }
 
-void recent_service::fading::add(double amount, instant now) {
+void recent_service::decaying_sum::add(double amount, instant now) {
     sum = at_time(now) + amount;
     at = now;
 }
 
 double recent_service::part_served(const record &kind, instant now) {
     const double asked = kind.asked.at_time(now);
-    return asked < least_asked ? 1 : 1 - kind.refused.at_time(now) / asked;
+    return asked < min_asked ? 1 : 1 - kind.refused.at_time(now) / asked;
 }
 
 void recent_service::note_asked(const request_kind &kind, instant now) {
-    if (m_kinds.size() >= most_kinds) {
+    if (m_kinds.size() >= max_kinds) {
         std::erase_if(m_kinds, [&](const auto &known) {
-            return known.second.asked.at_time(now) < forgotten_below;
+            return known.second.asked.at_time(now) < eviction_threshold;
         });
     }
     m_kinds[kind].asked.add(1, now);
@@ -61,7 +61,7 @@
     m_kinds[kind].work.add(static_cast<double>(work.count()), now);
 }
 
-/// Of the kinds that rank like `peer`, the part of the one that was refused most often.
+/// Lowest served share among the kinds of the same rank as `peer`.
 double recent_service::least_part_served(const request_kind &peer, instant now) const {
     double least = 1;
     for (const auto &[kind, known] : m_kinds) {
@@ -88,7 +88,7 @@
             ranks_before(other, kind) || (peer && part_served(known, now) <= fair_part);
         work += before ? known.work.at_time(now) : 0;
     }
-    return work / static_cast<double>(duration(memory).count());
+    return work / static_cast<double>(duration(decay_time).count());
 }
 
 } // namespace peppertack
--- a/src/coordination/work_queue.cpp
+++ b/src/coordination/work_queue.cpp
@@ -9,19 +9,19 @@
 
 namespace {
 
-/// Weight of the latest time is one part in so many: quick enough to follow a target that turned
-/// slow within a second at some tens of requests a second, slow enough to pass over a single
-/// outlier.
+/// The latest time has a weight of 1 / smoothing: at some tens of requests per second this follows
+/// a slowed target within a second, but is not affected much by a single outlier.
 constexpr int smoothing = 16;
-/// Some work of the least urgent is always hoped for: what is more urgent may end any moment.
-constexpr double most_taken_before = 0.95;
-/// A standing queue is shortened to this part of the slots, which keeps them busy.
-constexpr double kept_waiting = 0.3;
-constexpr double shortened = 0.85; ///< factor of the allowed wait with each interval
-constexpr double lengthened = 0.05;
-constexpr double least_wait_share = 0.15;
-constexpr duration least_retry_after = std::chrono::milliseconds(50);
-constexpr double least_mean_seconds = 0.0001;
+/// A part of the target is always assumed free for the least urgent requests, since more urgent
+/// load may end at any time.
+constexpr double max_taken_before = 0.95;
+/// A standing queue is shortened to this fraction of the slots, which keeps them busy.
+constexpr double target_queue_share = 0.3;
+constexpr double wait_share_decrease = 0.85; ///< factor per interval with a standing queue
+constexpr double wait_share_increase = 0.05; ///< added per interval without one
+constexpr double min_wait_share = 0.15;
+constexpr duration min_retry_after = std::chrono::milliseconds(50);
+constexpr double min_mean_seconds = 0.0001;
 
 recent_service::request_kind kind_of(const work_queue::item &request, bool nested_first) {
     return {.direct = !(nested_first && request.nested),
@@ -51,7 +51,7 @@
     return std::max(by_slots, time_at_rate(m_waiting.size()));
 }
 
-/// In which the target takes so many requests by the limit that it names; zero without one.
+/// Time in which the announced rate limit lets through `requests`; zero without a limit.
 duration work_queue::time_at_rate(std::size_t requests) const {
     const auto rate = m_rate.per_second();
     const double seconds = rate ? static_cast<double>(requests) / *rate : 0;
@@ -60,7 +60,7 @@
 
 double work_queue::capacity() const {
     const double seconds = std::chrono::duration<double>(m_mean).count();
-    const double by_slots = m_options.limit / std::max(seconds, least_mean_seconds);
+    const double by_slots = m_options.limit / std::max(seconds, min_mean_seconds);
     return std::min(by_slots, m_rate.per_second().value_or(by_slots));
 }
 
@@ -72,17 +72,17 @@
                : m_options.limit;
 }
 
-/// By when an answer is worth having.
+/// Latest time at which an answer is still useful.
 instant work_queue::useful_until(const item &request) const {
-    const instant patience = request.arrived + m_options.usual_return;
-    return std::min(std::max(request.objective, patience), request.deadline);
+    const instant min_wait_end = request.arrived + m_options.usual_return;
+    return std::min(std::max(request.objective, min_wait_end), request.deadline);
 }
 
 bool work_queue::in_time(const item &request, instant now) const {
     return now + service_time(request.kind) <= useful_until(request);
 }
 
-/// What goes first has the smaller rank.
+/// Scheduling order: the smallest rank goes first.
 auto work_queue::rank(const item &request, instant now) const {
     const bool late = now + service_time(request.kind) > request.objective;
     const recent_service::request_kind kind = kind_of(request, m_options.nested_first);
@@ -91,10 +91,10 @@
                       request.objective);
 }
 
-/// Part of the target that requests which go before this one took of late, and will take on.
+/// Fraction of the target that requests ranked before this one recently used; assumed to persist.
 double work_queue::taken_before(const item &request, instant now) const {
     const double slots = m_recent.slots_before(kind_of(request, m_options.nested_first), now);
-    return std::min(slots / m_options.limit, most_taken_before);
+    return std::min(slots / m_options.limit, max_taken_before);
 }
 
 duration work_queue::expected_wait(const item &request, instant now) const {
@@ -118,8 +118,9 @@
         const bool first = rank(other, now) <= own_rank;
         ahead += first ? service_time(other.kind) : duration{};
     }
-    // What comes later and is more urgent goes first too: a request that counts on the whole target
-    // is overtaken again and again, and refused when half of its time is gone.
+    // More urgent requests that arrive later go first too: a request that is admitted on the
+    // assumption of the whole target is overtaken repeatedly, and refused only after half of its
+    // objective.
     const double share = (1 - taken_before(request, now)) * m_options.limit;
     return duration(static_cast<duration::rep>(static_cast<double>(ahead.count()) / share));
 }
@@ -128,24 +129,26 @@
     if (has_room(now)) {
         return now < request.deadline;
     }
-    // One that would start too late to meet its objective only pushes those behind it past theirs.
-    const duration to_spare = useful_until(request) - now - service_time(request.kind);
+    // A request that would miss its objective would only make those behind it miss theirs.
+    const duration slack = useful_until(request) - now - service_time(request.kind);
     const double share = request.nested && m_options.nested_first ? 1 : m_wait_share;
-    const auto longest = static_cast<double>(to_spare.count()) * share;
+    const auto longest = static_cast<double>(slack.count()) * share;
     return m_waiting.size() < m_options.most_waiting &&
            static_cast<double>(expected_wait(request, now).count()) <= longest;
 }
 
-/// Shortens a standing queue. It is as long as the objective allows while more is asked for than
-/// the target can do, so that all that is served ends just before its objective, or just after it.
+/// Shortens a standing queue. Under overload the queue grows to the longest wait that the objective
+/// allows, so that without this all requests would finish just before their objective or just
+/// after.
 void work_queue::watch_length(instant now) {
     m_least_waiting = std::min(m_least_waiting, m_waiting.size());
     if (!m_options.drain_standing || now < m_interval_end) {
         return;
     }
-    const bool standing = static_cast<double>(m_least_waiting) > kept_waiting * usable_slots();
-    m_wait_share = standing ? std::max(m_wait_share * shortened, least_wait_share)
-                            : std::min(m_wait_share + lengthened, 1.0);
+    const bool standing =
+        static_cast<double>(m_least_waiting) > target_queue_share * usable_slots();
+    m_wait_share = standing ? std::max(m_wait_share * wait_share_decrease, min_wait_share)
+                            : std::min(m_wait_share + wait_share_increase, 1.0);
     m_interval_end = now + m_options.standing_after;
     m_least_waiting = m_waiting.size();
 }
@@ -166,14 +169,14 @@
     return verdict::wait;
 }
 
-std::optional<std::uint64_t> work_queue::next(instant now, std::vector<std::uint64_t> &hopeless) {
+std::optional<std::uint64_t> work_queue::next(instant now, std::vector<std::uint64_t> &infeasible) {
     std::erase_if(m_waiting, [&](const item &request) {
-        // Waiting on would only make the refusal late: it came in time to be served, and others
-        // that rank above it have taken the room since.
+        // Waiting longer would only delay the refusal: the request was feasible on arrival, but
+        // requests that rank above it have used the capacity since.
         const bool over = !in_time(request, now) || request.deadline <= now;
         if (over) {
             m_recent.note_refused(kind_of(request, m_options.nested_first), now);
-            hopeless.push_back(request.id);
+            infeasible.push_back(request.id);
         }
         return over;
     });
@@ -221,8 +224,7 @@
 duration work_queue::retry_after() const {
     const auto slots = std::max<duration::rep>(usable_slots(), 1);
     const auto ahead = static_cast<duration::rep>(m_waiting.size() + 1);
-    return std::max(
-        {least_retry_after, m_mean * ahead / slots, time_at_rate(m_waiting.size() + 1)});
+    return std::max({min_retry_after, m_mean * ahead / slots, time_at_rate(m_waiting.size() + 1)});
 }
 
 } // namespace peppertack
--- a/tests/coordination/dependency_admission_test.cpp
+++ b/tests/coordination/dependency_admission_test.cpp
@@ -67,11 +67,11 @@
     }
     void end(const std::string &kind, duration took) {
         m_queue.finish(kind, took);
-        std::vector<std::uint64_t> hopeless;
-        while (const auto next = m_queue.next(m_time.now(), hopeless)) {
+        std::vector<std::uint64_t> infeasible;
+        while (const auto next = m_queue.next(m_time.now(), infeasible)) {
             m_waiting.extract(*next).mapped().begin();
         }
-        for (const std::uint64_t id : hopeless) {
+        for (const std::uint64_t id : infeasible) {
             m_waiting.extract(id).mapped().rejected();
         }
     }
--- a/tests/coordination/rate_limit_test.cpp
+++ b/tests/coordination/rate_limit_test.cpp
@@ -13,7 +13,7 @@
 constexpr duration service = 20ms;
 constexpr duration objective = 1s;
 
-/// Offers requests to a queue at random and starts what may start; yields when each was started.
+/// Offers requests to a queue at random times and records when each is started.
 class limited_target {
 public:
     explicit limited_target(std::uint64_t seed) : m_random(seed) {}
@@ -21,7 +21,7 @@
     work_queue queue{{.limit = 8}};
     std::deque<instant> started;
     std::size_t refused = 0;
-    std::size_t refused_late = 0; ///< after they had waited
+    std::size_t refused_late = 0; ///< refused after waiting in the queue
 
     void run(double offered_per_second, duration length) {
         const instant until = m_now + length;
@@ -35,24 +35,24 @@
             for (; next_offer <= m_now; next_offer += duration(gap_us(gap))) {
                 offer();
             }
-            std::vector<std::uint64_t> hopeless;
-            while (queue.next(m_now, hopeless)) {
+            std::vector<std::uint64_t> infeasible;
+            while (queue.next(m_now, infeasible)) {
                 begin();
             }
-            refused_late += hopeless.size();
+            refused_late += infeasible.size();
         }
     }
 
-    /// Most requests that were started within any span of that length.
-    std::size_t most_within(duration span) const {
-        std::size_t most = 0;
+    /// Maximum number of requests started within any interval of length `span`.
+    std::size_t max_started_within(duration span) const {
+        std::size_t max_count = 0;
         for (auto first = started.begin(), last = started.begin(); last != started.end(); ++last) {
             while (*first + span <= *last) {
                 ++first;
             }
-            most = std::max(most, static_cast<std::size_t>(last - first) + 1);
+            max_count = std::max(max_count, static_cast<std::size_t>(last - first) + 1);
         }
-        return most;
+        return max_count;
     }
     instant now() const { return m_now; }
 
@@ -87,8 +87,8 @@
 
 } // namespace
 
-TEST_CASE("a target that names a limit is started no more than that, at any load") {
-    // Guards against a queue that knows slots only: eight of 20 ms are 400 requests a second.
+TEST_CASE("no more requests are started than the announced rate limit allows, at any load") {
+    // Guards against a queue that is limited by slots only: 8 slots of 20 ms allow 400 requests/s.
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         std::mt19937_64 random(seed);
@@ -98,12 +98,12 @@
         target.queue.set_rate(limit, target.now());
         target.started.clear();
         target.run(1 + static_cast<double>(random() % 300), 20s);
-        CHECK(static_cast<double>(target.most_within(4s)) <= 1.5 * 4 * limit + 5);
+        CHECK(static_cast<double>(target.max_started_within(4s)) <= 1.5 * 4 * limit + 5);
     }
 }
 
-TEST_CASE("a target is given what it takes while more is asked of it") {
-    // Guards against a limit that is kept by giving far less.
+TEST_CASE("the announced rate limit is used in full under overload") {
+    // Guards against staying below the limit by starting far fewer requests than it allows.
     limited_target target(1);
     target.queue.set_rate(20, target.now());
     target.run(200, 20s);
@@ -111,7 +111,7 @@
     CHECK(target.started.size() <= 420);
 }
 
-TEST_CASE("what a limit leaves no time for is refused when it comes") {
+TEST_CASE("requests that the rate limit would delay past their objective are refused on arrival") {
     // Guards against requests that wait until their objective has passed.
     limited_target target(1);
     target.queue.set_rate(10, target.now());
@@ -121,7 +121,7 @@
     CHECK(target.queue.retry_after() >= 100ms);
 }
 
-TEST_CASE("a limit that is named no longer holds no longer") {
+TEST_CASE("a rate limit that is no longer announced is lifted") {
     limited_target target(1);
     target.queue.set_rate(5, target.now());
     target.run(100, 5s);
@@ -131,7 +131,7 @@
     CHECK(target.started.size() > 450);
 }
 
-TEST_CASE("a limit is told as what the target can do") {
+TEST_CASE("a rate limit lowers the reported slots and capacity") {
     limited_target target(1);
     target.run(100, 20s);
     CHECK(target.queue.usable_slots() == 8);
--- a/tests/coordination/work_queue_test.cpp
+++ b/tests/coordination/work_queue_test.cpp
@@ -21,8 +21,8 @@
             .deadline = start + 2 * objective};
 }
 
-/// A target with a fixed service time under a steady load, in virtual time. Counts what was
-/// answered within its objective.
+/// Simulates a target under steady load in virtual time and counts the answers within their
+/// objective. The service time is fixed, or log-normal with `spread`.
 struct replay {
     work_queue queue{{.limit = 4}};
     duration service = 100ms;
@@ -57,11 +57,11 @@
             busy.push({now + took, id, took});
         };
         const auto fill = [&] {
-            std::vector<std::uint64_t> hopeless;
-            while (const auto id = queue.next(now, hopeless)) {
+            std::vector<std::uint64_t> infeasible;
+            while (const auto id = queue.next(now, infeasible)) {
                 begin(*id);
             }
-            for (const std::uint64_t id : hopeless) {
+            for (const std::uint64_t id : infeasible) {
                 ++refused;
                 refused_late += now - arrived[id] > objective / 2 ? 1 : 0;
             }
@@ -99,7 +99,7 @@
     }
 };
 
-/// A target in virtual time that is given requests by a queue.
+/// A target in virtual time behind a `work_queue`.
 struct busy_target {
     struct running {
         instant ends;
@@ -128,19 +128,19 @@
             refused(request, now);
         }
     }
-    /// Ends what has ended by then.
+    /// Completes the requests that end by `until`.
     void advance(instant until) {
         while (!busy.empty() && busy.top().ends <= until) {
             const running done = busy.top();
             busy.pop();
             queue.finish(done.request.kind, done.took);
             served(done.request, done.ends);
-            std::vector<std::uint64_t> hopeless;
-            while (const auto next = queue.next(done.ends, hopeless)) {
+            std::vector<std::uint64_t> infeasible;
+            while (const auto next = queue.next(done.ends, infeasible)) {
                 begin(waiting[*next], done.ends);
                 waiting.erase(*next);
             }
-            for (const std::uint64_t id : hopeless) {
+            for (const std::uint64_t id : infeasible) {
                 const work_queue::item request = waiting[id];
                 waiting.erase(id);
                 refused(request, done.ends);
@@ -151,26 +151,26 @@
 
 } // namespace
 
-TEST_CASE("requests start while there is room and wait in order of rank") {
+TEST_CASE("requests start while slots are free and wait in order of rank") {
     work_queue queue({.limit = 1});
     CHECK(queue.offer(item(1), start) == work_queue::verdict::start);
     CHECK(queue.offer(item(2, 2), start) == work_queue::verdict::wait);
     CHECK(queue.offer(item(3, 0), start) == work_queue::verdict::wait);
     const work_queue::item call = item(4, 2, 400ms);
     CHECK(queue.offer(call, start) == work_queue::verdict::wait);
-    std::vector<std::uint64_t> hopeless;
-    CHECK_FALSE(queue.next(start, hopeless));
+    std::vector<std::uint64_t> infeasible;
+    CHECK_FALSE(queue.next(start, infeasible));
     std::vector<std::uint64_t> order;
     for (int i = 0; i < 3; ++i) {
         queue.finish("r", 10ms);
-        order.push_back(queue.next(start, hopeless).value_or(0));
+        order.push_back(queue.next(start, infeasible).value_or(0));
     }
-    // By priority, then the one whose objective comes first.
+    // By priority, then by earliest objective.
     CHECK(order == std::vector<std::uint64_t>{3, 4, 2});
-    CHECK(hopeless.empty());
+    CHECK(infeasible.empty());
 }
 
-// Guards against the work of a running request being thrown away for a direct request.
+// Guards against wasting the work of a running request for the sake of a direct request.
 TEST_CASE("a nested call goes before direct requests, an expendable one by its priority") {
     for (const bool first : {true, false}) {
         work_queue queue({.limit = 1, .nested_first = first});
@@ -179,23 +179,23 @@
         work_queue::item call = item(3, 1);
         call.nested = true;
         queue.offer(call, start);
-        queue.offer(item(4, 3), start); // expendable: below what calls it
-        std::vector<std::uint64_t> hopeless;
+        queue.offer(item(4, 3), start); // expendable: less urgent than its parent
+        std::vector<std::uint64_t> infeasible;
         std::vector<std::uint64_t> order;
         for (int i = 0; i < 3; ++i) {
             queue.finish("r", 10ms);
-            order.push_back(queue.next(start, hopeless).value_or(0));
+            order.push_back(queue.next(start, infeasible).value_or(0));
         }
         CHECK(order ==
               (first ? std::vector<std::uint64_t>{3, 2, 4} : std::vector<std::uint64_t>{2, 3, 4}));
     }
 }
 
-TEST_CASE("what can't be answered in time is refused at once") {
+TEST_CASE("requests that can't be answered in time are refused immediately") {
     work_queue queue({.limit = 1});
     queue.offer(item(1), start);
     queue.finish("r", 100ms);
-    for (int i = 0; i < 200; ++i) { // the estimate settles
+    for (int i = 0; i < 200; ++i) { // until the service time estimate converges
         queue.offer(item(2), start);
         queue.finish("r", 100ms);
     }
@@ -204,30 +204,30 @@
     while (queue.offer(item(10 + waiting), start) == work_queue::verdict::wait) {
         ++waiting;
     }
-    // 500 ms hold five requests of 100 ms: one runs, and the last of four to wait ends just in
-    // time.
+    // Five requests of 100 ms fit into 500 ms: one runs, and the last of the four that wait ends
+    // just in time.
     CHECK(waiting == 4);
     CHECK(queue.retry_after() >= 300ms);
 }
 
-TEST_CASE("a request whose chance has passed is refused when others overtook it") {
+TEST_CASE("a waiting request that can no longer be answered in time is refused") {
     work_queue queue({.limit = 1});
     queue.offer(item(1), start);
     CHECK(queue.offer(item(2), start) == work_queue::verdict::wait);
-    std::vector<std::uint64_t> hopeless;
-    CHECK_FALSE(queue.next(start + 480ms, hopeless));
-    CHECK(hopeless == std::vector<std::uint64_t>{2});
+    std::vector<std::uint64_t> infeasible;
+    CHECK_FALSE(queue.next(start + 480ms, infeasible));
+    CHECK(infeasible == std::vector<std::uint64_t>{2});
     CHECK(queue.waiting() == 0);
 }
 
-TEST_CASE("at five times the capacity the target is kept busy with what is in time") {
-    // The load pattern: far more than the target can do, all of one kind, for a minute.
+TEST_CASE("at five times the capacity the target stays busy with requests that are in time") {
+    // Load: all requests of one kind, far above the capacity, for a minute.
     replay load;
-    load.run(200, 60s, 500ms); // capacity is 40 a second
+    load.run(200, 60s, 500ms); // capacity is 40 requests/s
     CHECK(load.in_time >= 0.95 * 40 * 60);
     CHECK(load.late <= load.in_time / 50);
     CHECK(load.served_by_priority[0] >= load.served_by_priority[1]);
-    // Most refusals come at once.
+    // Most refusals are immediate.
     CHECK(load.refused_late <= load.refused / 10);
 }
 
@@ -238,7 +238,7 @@
     CHECK(load.in_time >= load.offered * 98 / 100);
 }
 
-TEST_CASE("whether a request would be taken is told without taking it") {
+TEST_CASE("a request can be checked for admission without being admitted") {
     work_queue queue({.limit = 1});
     CHECK(queue.would_take(item(1), start));
     CHECK_FALSE(queue.would_take(item(1), start + 2s));
@@ -249,28 +249,29 @@
     CHECK(queue.waiting() == 0);
 }
 
-TEST_CASE("at twice the capacity the less urgent are refused at once, not after a long wait") {
-    // Symptom: half of all refusals came after more than half of the objective. Sequence: a target
-    // was asked for twice what it can do, one half urgent; the other half was taken, overtaken by
-    // urgent requests that came later, and refused in the end. Cause: only what was ahead already
-    // counted as wait.
+TEST_CASE(
+    "at twice the capacity the less urgent requests are refused immediately, not after a wait") {
+    // Guards against late refusals: half of them came after more than half of the objective. At
+    // twice the capacity, half of it urgent, less urgent requests were queued, overtaken by later
+    // urgent ones and finally refused, if the expected wait counts only requests that are already
+    // queued.
     replay load;
     load.spread = 0.5;
-    load.run(80, 120s, 500ms); // capacity is 40 a second
+    load.run(80, 120s, 500ms); // capacity is 40 requests/s
     CHECK(load.in_time >= 0.93 * 40 * 120);
     CHECK(load.late <= load.in_time / 20);
     CHECK(load.refused_late <= load.refused / 10);
 }
 
-// Guards against answers that come just after their objective while the target is overloaded: the
-// queue stands at the longest wait that still seems to be in time, for all who are served.
-TEST_CASE("a standing queue is shortened until what is served is in time") {
+// Guards against answers just after their objective during overload: the queue settles at the
+// longest wait that still seems to be in time, and every served request waits that long.
+TEST_CASE("a standing queue is shortened until the served requests are in time") {
     replay load;
     load.queue = work_queue({.limit = 17});
     load.service = 97ms;
     load.spread = 0.4;
     load.priorities = 1;
-    load.run(260, 60s, 300ms); // capacity is 175 a second
+    load.run(260, 60s, 300ms); // capacity is 175 requests/s
     CHECK(load.late <= load.in_time / 20);
     CHECK(load.in_time >= 0.93 * 175 * 60);
     replay standing = {.queue = work_queue({.limit = 17, .drain_standing = false}),
@@ -283,11 +284,11 @@
     CHECK(standing.late >= 4 * load.late);
 }
 
-TEST_CASE("of one priority no kind starves beside another with a shorter objective") {
-    // Symptom: most targets of a service were lost; the calls of lookups were served whole, and
-    // three in ten of the bookings, which have the same priority. Sequence: both kinds together ask
-    // for three times what a target can do; the earliest objective goes first, always a call's.
-    // Cause: nothing counted who had been refused.
+TEST_CASE("a kind does not starve beside another of its priority with a shorter objective") {
+    // Guards against starvation after most targets of a service are lost: calls of lookups were all
+    // served, but only 30% of the bookings, which have the same priority. Both kinds together offer
+    // three times the capacity, and a call always has the earliest objective, so that the order has
+    // to take into account which kind was refused more.
     struct load {
         double asked = 0;
         double served = 0;
@@ -297,7 +298,7 @@
     busy_target target{.service = {{"call", 22ms}, {"booking", 120ms}}};
     target.served = [&](const work_queue::item &request, instant) { ++loads[request.kind].served; };
     target.refused = [](const work_queue::item &, instant) {};
-    // In slots: 17 of calls and 30 of bookings, of 17.
+    // Offered load in slots: 17 by calls and 30 by bookings; the target has 17.
     std::mt19937_64 random(11);
     std::exponential_distribution<double> gap(772 + 250);
     std::bernoulli_distribution is_call(772.0 / (772 + 250));
@@ -322,18 +323,18 @@
     CHECK(loads["call"].served * 0.022 + loads["booking"].served * 0.120 >= 0.95 * 17 * 60);
 }
 
-TEST_CASE("callers that come back don't make those late that come anew") {
-    // Symptom: at twice the capacity half of the answers came after the objective, by the callers'
-    // clocks. Sequence: callers are refused, come back twice, and are taken for new ones each time.
-    // Cause: a request that can't be in time any more was served in place of one that could.
-    struct comeback {
+TEST_CASE("retries of refused callers don't make new requests late") {
+    // Guards against late answers at twice the capacity: half of them came after the objective, as
+    // measured by the callers. Refused callers retry twice; a retry that can no longer be in time
+    // must not be served in place of a request that can.
+    struct retry {
         instant at;
         std::uint64_t caller;
         int tries;
-        bool operator>(const comeback &other) const { return at > other.at; }
+        bool operator>(const retry &other) const { return at > other.at; }
     };
-    std::priority_queue<comeback, std::vector<comeback>, std::greater<>> due;
-    std::map<std::uint64_t, std::pair<instant, int>> callers; // first asked, tries
+    std::priority_queue<retry, std::vector<retry>, std::greater<>> due;
+    std::map<std::uint64_t, std::pair<instant, int>> callers; // first attempt, tries
     double in_time = 0;
     double late = 0;
     busy_target target{.service = {{"r", 100ms}}};
@@ -347,7 +348,7 @@
                 {now + std::max<duration>(target.queue.retry_after(), 250ms), request.id, tries});
         }
     };
-    const auto ask = [&](std::uint64_t caller, instant now) {
+    const auto send = [&](std::uint64_t caller, instant now) {
         const instant asked = callers[caller].first;
         target.offer({.id = caller,
                       .kind = "r",
@@ -358,20 +359,20 @@
                      now);
     };
     std::mt19937_64 random(3);
-    std::exponential_distribution<double> gap(340); // capacity is 170 a second
+    std::exponential_distribution<double> gap(340); // capacity is 170 requests/s
     instant now = start;
     for (std::uint64_t caller = 1; now < start + 60s; ++caller) {
         const instant next = now + duration(static_cast<duration::rep>(gap(random) * 1e6));
         while (!due.empty() && due.top().at <= next) {
-            const comeback back = due.top();
+            const retry back = due.top();
             due.pop();
             target.advance(back.at);
-            ask(back.caller, back.at);
+            send(back.caller, back.at);
         }
         now = next;
         target.advance(now);
         callers[caller] = {now, 0};
-        ask(caller, now);
+        send(caller, now);
     }
     MESSAGE("in time " << in_time << ", late " << late);
     CHECK(in_time >= 0.9 * 170 * 60);
