--- a/include/peppertack/coordination/key_load_counter.hpp
+++ b/include/peppertack/coordination/key_load_counter.hpp
@@ -9,14 +9,15 @@
 
 namespace peppertack {
 
-/// Counts what the target beside a node is asked for, by ordered key, and puts it into the node's
-/// reports: load of each range, where a heavy one is to be cut, busiest keys. Not thread safe.
+/// Counts the requests to the target beside a node by ordered key, and adds to the node's reports
+/// the load of each range, split points of heavily loaded ranges and the busiest keys. Not thread
+/// safe.
 class key_load_counter {
 public:
     void count(std::uint32_t key) { ++m_requests[key]; }
     void clear() { m_requests.clear(); }
-    /// Adds what was counted in the last `seconds` to a renewal and begins anew. `capacity`:
-    /// requests a second that the target usually does.
+    /// Adds the counts of the last `seconds` to a renewal and resets them. `capacity` is the usual
+    /// throughput of the target in requests per second.
     void report(renew_request &request, const std::vector<lease_client::own_range> &ranges,
                 double capacity, double seconds);
 
--- a/include/peppertack/coordination/key_memory.hpp
+++ b/include/peppertack/coordination/key_memory.hpp
@@ -10,31 +10,32 @@
 
 namespace peppertack {
 
-/// Idempotency keys with what became of them. A key is kept for the whole retention; when the
-/// memory is full new keys are refused, since forgetting one early could run a request twice. Not
-/// thread safe.
+/// Idempotency keys with the outcomes of their requests. A key is kept for the whole retention
+/// period; when the store is full new keys are refused, since evicting one early could run a
+/// request twice. Not thread safe.
 class key_memory {
 public:
     struct options {
         std::size_t most_keys = 80'000;
-        std::size_t most_answer_bytes = 16U << 20U; ///< answers' bodies; the keys stay
-        std::size_t largest_answer = 256U << 10U;   ///< larger bodies are not kept
+        std::size_t most_answer_bytes =
+            16U << 20U; ///< total size of bodies; beyond it only keys are kept
+        std::size_t largest_answer = 256U << 10U; ///< larger bodies are not kept
         std::int64_t retention_ms = 600'000;
     };
 
     explicit key_memory(options settings) : m_options(settings) {}
     key_memory() : key_memory(options{}) {}
 
-    /// Null if the key is not known.
+    /// Returns null if the key is unknown.
     const remembered_key *find(const std::string &service, const std::string &key) const;
-    /// Adds or replaces a key. False if it is new and the memory is full.
+    /// Adds or replaces a key. Returns false if it is new and the store is full.
     bool put(remembered_key value);
     void erase(const std::string &service, const std::string &key);
     /// Keys of a service with `first <= hash <= last`.
     std::vector<remembered_key> in_range(const std::string &service, std::uint64_t first,
                                          std::uint64_t last) const;
     std::vector<remembered_key> all() const;
-    /// Forgets keys whose retention has passed.
+    /// Removes keys whose retention period has passed.
     void expire(std::int64_t wall_ms);
     void clear();
     std::size_t size() const { return m_keys.size(); }
--- a/include/peppertack/coordination/request_router.hpp
+++ b/include/peppertack/coordination/request_router.hpp
@@ -12,9 +12,9 @@
 
 namespace peppertack {
 
-/// The callers' side of a node: brings each request to the owner of its key and its answer back.
-/// Sends a request again only where it certainly did not run, where it is repeatable, or where the
-/// owner tells resends by their idempotency key. Not thread safe.
+/// Routes callers' requests to the owner of their key and returns the answers. Resends a request
+/// only if it certainly did not run, is repeatable, or has an idempotency key by which the owner
+/// recognises resends. Not thread safe.
 class request_router {
 public:
     request_router(const node_options &options, const lease_client &lease, node_effects &effects,
@@ -22,11 +22,11 @@
     void set_owner(range_owner &owner) { m_owner = &owner; }
 
     void submit(std::uint64_t ticket, caller_request request, moment at);
-    /// An answer of the local owner side.
+    /// Handles an answer of the local `range_owner`.
     void local_answer(const request_id &id, caller_response response, moment at);
     void receive(const node_address &from, const forward_reply &reply, moment at);
     void receive(const node_address &from, const fate_reply &reply, moment at);
-    /// The connection to a peer was lost, or can't be made.
+    /// Handles a connection to a peer that was lost or can't be established.
     void peer_down(const node_address &address, moment at);
     void map_changed(moment at);
     void tick(moment at);
@@ -56,11 +56,11 @@
     entry *find(const request_id &id);
     void route(entry &value, moment at);
     void wait(entry &value, error_kind reason, duration pause, moment at);
-    void take_answer(entry &value, caller_response response, moment at);
-    void take_unknown(entry &value, caller_response response, moment at);
+    void handle_answer(entry &value, caller_response response, moment at);
+    void handle_unknown_outcome(entry &value, caller_response response, moment at);
     void retry_or_finish(entry &value, caller_response response, moment at);
     void finish(entry &value, caller_response response, moment at);
-    void owner_lost(entry &value, moment at);
+    void handle_owner_loss(entry &value, moment at);
     void probe(entry &value, moment at);
     caller_response refusal(error_kind error, const entry &value) const;
     bool safe_to_resend(const entry &value) const;
@@ -74,8 +74,9 @@
     retry_budget m_budget;
     std::mt19937_64 m_random;
     std::uint64_t m_sequence = 0;
-    std::unordered_map<std::uint64_t, entry> m_entries;       ///< by ticket
-    std::unordered_map<std::uint64_t, std::uint64_t> m_by_id; ///< sequence of an attempt: ticket
+    std::unordered_map<std::uint64_t, entry> m_entries; ///< by ticket
+    std::unordered_map<std::uint64_t, std::uint64_t>
+        m_by_id; ///< sequence number of an attempt to ticket
 };
 
 } // namespace peppertack
--- a/include/peppertack/coordination/traffic_policy.hpp
+++ b/include/peppertack/coordination/traffic_policy.hpp
@@ -5,11 +5,11 @@
 
 namespace peppertack {
 
-/// The mechanisms that decide on load. All are on by default; one is switched off to measure what
-/// it is worth. Immutable once the traffic of a node has started.
+/// Switches of the load-dependent mechanisms. All are on by default; switching one off measures its
+/// effect. Immutable once a node serves traffic.
 struct traffic_policy {
     bool dependency_admission = true; ///< see `dependency_admission`
-    bool nested_calls_first = true;   ///< calls of running requests go before all else
+    bool nested_calls_first = true;   ///< nested calls go before all other requests
     bool retry_recognition = true;    ///< see `returning_callers`
     bool equal_shares = true;         ///< see `recent_service`
     bool drain_standing = true;       ///< see `work_queue`
@@ -21,7 +21,7 @@
     friend bool operator==(const traffic_policy &, const traffic_policy &) = default;
 };
 
-/// A mechanism and the name by which settings switch it off.
+/// A mechanism and its name in the settings.
 struct traffic_mechanism {
     std::string_view name;
     bool traffic_policy::*enabled = nullptr;
--- a/src/coordination/hot_key_counter.cpp
+++ b/src/coordination/hot_key_counter.cpp
@@ -5,7 +5,7 @@
 namespace peppertack {
 
 void hot_key_counter::count(std::uint64_t hash) {
-    if (++m_passed % m_sample != 0) {
+    if (++m_seen % m_sample != 0) {
         return;
     }
     const auto found = m_counts.find(hash);
@@ -25,7 +25,7 @@
     m_counts[hash] = inherited + 1;
 }
 
-std::vector<hot_key> hot_key_counter::take(std::size_t most) {
+std::vector<hot_key> hot_key_counter::take(std::size_t max_keys) {
     std::vector<hot_key> result;
     for (const auto &[hash, count] : m_counts) {
         result.push_back({hash, count * m_sample});
@@ -33,7 +33,7 @@
     std::sort(result.begin(), result.end(), [](const hot_key &a, const hot_key &b) {
         return a.requests != b.requests ? a.requests > b.requests : a.hash < b.hash;
     });
-    result.resize(std::min(result.size(), most));
+    result.resize(std::min(result.size(), max_keys));
     m_counts.clear();
     return result;
 }
--- a/src/coordination/key_load_counter.cpp
+++ b/src/coordination/key_load_counter.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr std::size_t most_hot_keys = 8;
-/// A part of a range that is cut is at most one part in so many of what a target can do: small
-/// enough to fit into the room that targets have, large enough to keep ranges few.
+constexpr std::size_t max_hot_keys = 8;
+/// A range is split into parts of at most 1 / parts_of_capacity of a target's capacity: small
+/// enough to fit into the spare capacity of targets, large enough to keep the number of ranges low.
 constexpr double parts_of_capacity = 10;
-constexpr std::size_t most_cuts = 31; ///< of one range in one report
+constexpr std::size_t max_split_points = 31; ///< of one range in one report
 
-std::uint32_t a_second(std::uint64_t requests, double seconds) {
+std::uint32_t per_second(std::uint64_t requests, double seconds) {
     return static_cast<std::uint32_t>(static_cast<double>(requests) / seconds);
 }
 
@@ -42,9 +42,9 @@
         total += place->second;
         keys.push_back({place->first, place->second});
     }
-    range_load load{.first = range.record.first, .requests = a_second(total, seconds)};
+    range_load load{.first = range.record.first, .requests = per_second(total, seconds)};
     const auto part = static_cast<std::uint64_t>(capacity * seconds / parts_of_capacity) + 1;
-    for (const std::uint32_t key : load_cuts(keys, part, most_cuts)) {
+    for (const std::uint32_t key : load_cuts(keys, part, max_split_points)) {
         load.cuts.push_back(ordered_key_hash(key));
     }
     return load;
@@ -56,11 +56,11 @@
         by_count.emplace_back(count, key);
     }
     std::sort(by_count.rbegin(), by_count.rend());
-    by_count.resize(std::min(by_count.size(), most_hot_keys));
+    by_count.resize(std::min(by_count.size(), max_hot_keys));
     std::vector<hot_key> result;
     result.reserve(by_count.size());
     for (const auto &[count, key] : by_count) {
-        result.push_back({ordered_key_hash(key), a_second(count, seconds)});
+        result.push_back({ordered_key_hash(key), per_second(count, seconds)});
     }
     return result;
 }
--- a/src/coordination/key_memory.cpp
+++ b/src/coordination/key_memory.cpp
@@ -42,7 +42,8 @@
     return true;
 }
 
-/// Without its body an answer can't be given again, but that the request ran is still known.
+/// Without its body the answer can't be returned again, but it is still known that the request was
+/// received, so it is not run again.
 void key_memory::drop_body(remembered_key &value) {
     value.response.body.reset();
     value.phase = key_phase::unknown;
--- a/src/coordination/request_router.cpp
+++ b/src/coordination/request_router.cpp
@@ -14,7 +14,7 @@
 constexpr duration retry_after_no_owner = std::chrono::milliseconds(500);
 constexpr duration retry_pause = std::chrono::milliseconds(20);
 
-/// Refusals that only say that the range is elsewhere or on its way.
+/// Whether the refusal only means that the range has another owner, none, or is being moved.
 bool is_routing(error_kind error) {
     return error == error_kind::not_owner || error == error_kind::moving ||
            error == error_kind::no_owner;
@@ -72,7 +72,7 @@
     const bool listed =
         service != nullptr || m_lease.current_table().has_service(value.request.service);
     if (!listed && m_lease.map().version() != 0) {
-        // Whoever added the service since will see it here once a voter can be reached.
+        // A service may have been added that this node learns of when it reaches a voter again.
         const bool sure = m_lease.table_trusted(at.now);
         finish(value, refusal(sure ? error_kind::unknown_service : error_kind::no_owner, value),
                at);
@@ -126,23 +126,23 @@
 
 void request_router::local_answer(const request_id &id, caller_response response, moment at) {
     if (entry *value = find(id)) {
-        take_answer(*value, std::move(response), at);
+        handle_answer(*value, std::move(response), at);
     }
 }
 
 void request_router::receive(const node_address &, const forward_reply &reply, moment at) {
     if (entry *value = find(reply.id)) {
-        take_answer(*value, reply.response, at);
+        handle_answer(*value, reply.response, at);
     }
 }
 
-void request_router::take_answer(entry &value, caller_response response, moment at) {
+void request_router::handle_answer(entry &value, caller_response response, moment at) {
     if (response.result == outcome::ran) {
         finish(value, std::move(response), at);
         return;
     }
     if (response.result == outcome::unknown) {
-        take_unknown(value, std::move(response), at);
+        handle_unknown_outcome(value, std::move(response), at);
         return;
     }
     if (is_routing(response.error)) {
@@ -159,9 +159,9 @@
     finish(value, std::move(response), at);
 }
 
-/// It may have run. Running it again does no harm only if it is repeatable; a key does not help
-/// here, since the owner has just said that it does not know what became of it.
-void request_router::take_unknown(entry &value, caller_response response, moment at) {
+/// The request may have run, so it is resent only if it is repeatable. An idempotency key does not
+/// help, since the owner has just reported that it does not know the outcome.
+void request_router::handle_unknown_outcome(entry &value, caller_response response, moment at) {
     if (value.request.repeatable || g_defects.resend_unknown) {
         retry_or_finish(value, std::move(response), at);
         return;
@@ -193,7 +193,7 @@
     m_entries.erase(value.ticket);
 }
 
-// ---- silence ----
+// ---- unanswered requests ----
 
 bool request_router::safe_to_resend(const entry &value) const {
     return value.request.repeatable || !value.request.idempotency_key.empty();
@@ -213,13 +213,13 @@
     }
     switch (reply.fate) {
     case request_fate::running:
-        return; // asked again after the interval, in case its answer gets lost
-    case request_fate::answered: take_answer(*value, reply.response, at); return;
+        return; // queried again after the interval, in case the answer gets lost
+    case request_fate::answered: handle_answer(*value, reply.response, at); return;
     case request_fate::never_seen:
-        // The owner has barred it, so it did not run and never will under this id.
+        // The owner rejects this id from now on, so the attempt did not run and never will.
         wait(*value, error_kind::owner_unreachable, m_options.reroute_interval, at);
         return;
-    case request_fate::forgotten: owner_lost(*value, at); return;
+    case request_fate::forgotten: handle_owner_loss(*value, at); return;
     }
 }
 
@@ -231,11 +231,11 @@
     }
 }
 
-/// The owner has ended, or does not know the request any more, and its answer did not come.
-void request_router::owner_lost(entry &value, moment at) {
+/// Called when the owner has ended or no longer knows the request, and no answer arrived.
+void request_router::handle_owner_loss(entry &value, moment at) {
     value.maybe_ran = true;
     if (safe_to_resend(value)) {
-        // A new owner knows the key from the lost one's standby, or says that it can't know.
+        // A new owner knows the key from the standby copy, or reports that it can't know.
         wait(value, error_kind::target_lost, m_options.reroute_interval, at);
         return;
     }
@@ -265,7 +265,7 @@
         if (found->second.state == phase::waiting) {
             route(found->second, at);
         } else {
-            owner_lost(found->second, at);
+            handle_owner_loss(found->second, at);
         }
     }
 }
@@ -296,7 +296,7 @@
             value.maybe_ran = true;
             finish(value, refusal(error_kind::deadline_after_target, value), at);
         }
-        // A local one past its deadline is ended by the owner side, which knows how far it came.
+        // A local request past its deadline is ended by `range_owner`, which knows its progress.
     }
 }
 
--- a/src/coordination/target_selector.cpp
+++ b/src/coordination/target_selector.cpp
@@ -7,29 +7,29 @@
 
 namespace {
 
-/// Usual times kept for each target.
-constexpr std::size_t most_routes = 256;
+/// Maximum number of service times by route kept for each target.
+constexpr std::size_t max_routes = 256;
 
 } // namespace
 
-/// By route where that is known: a target that is given short requests would look quick, and be
-/// given more of all kinds than one whose requests are long.
+/// Uses the time of the route if known: by its mean time a target with mostly short requests would
+/// look fast and receive more requests of all kinds than one whose requests are long.
 duration target_selector::usual_time(const state *known, const std::string &route) const {
     if (known == nullptr) {
         return m_options.prior_service_time;
     }
-    const auto told =
+    const auto reported =
         m_options.times_by_route ? known->by_route.find(route) : known->by_route.end();
-    if (told != known->by_route.end()) {
-        return told->second;
+    if (reported != known->by_route.end()) {
+        return reported->second;
     }
     const duration mean = known->load.service_time;
     return mean > duration{} ? mean : m_options.prior_service_time;
 }
 
 double target_selector::capacity(const state *known, const std::string &route) const {
-    const bool told = known != nullptr && known->load.limit > 0;
-    const double limit = told ? known->load.limit : m_options.prior_limit;
+    const bool reported = known != nullptr && known->load.limit > 0;
+    const double limit = reported ? known->load.limit : m_options.prior_limit;
     return limit / static_cast<double>(usual_time(known, route).count());
 }
 
@@ -48,12 +48,12 @@
         const std::uint32_t since =
             known.outstanding - std::min(known.outstanding, known.at_report);
         busy = known.load.in_flight + since;
-        const bool told = m_options.times_by_route && known.load.route_time > duration{};
-        backlog = told ? known.load.backlog : mean * known.load.waiting / limit;
+        const bool reported = m_options.times_by_route && known.load.route_time > duration{};
+        backlog = reported ? known.load.backlog : mean * known.load.waiting / limit;
     }
     const double fill = static_cast<double>(busy + 1) / limit;
-    // Below its limit a target is as quick as ever, but the fuller one is the sooner overtaken by
-    // what other nodes send meanwhile.
+    // Below its limit a target's service time does not depend on its load, but a fuller one reaches
+    // its limit sooner through the requests of other nodes.
     const double own = static_cast<double>(time.count()) * (1 + 0.2 * std::min(fill, 1.0));
     const double wait = static_cast<double>(mean.count()) * std::max(fill - 1, 0.0);
     return backlog + duration(static_cast<duration::rep>(own + wait));
@@ -99,18 +99,19 @@
         return cost(a, shape, now) < cost(b, shape, now);
     };
     std::size_t best = cheaper(from[second], from[first]) ? second : first;
-    // Of many targets the two drawn are mostly far: what is near is looked at in any case.
+    // With many targets the two drawn are mostly in other failure domains, so a target in this one
+    // is always considered.
     const std::optional<std::size_t> near =
-        m_options.near_choice ? draw_near(from, shape.route) : std::nullopt;
+        m_options.near_choice ? draw_same_domain(from, shape.route) : std::nullopt;
     best = near && cheaper(from[*near], from[best]) ? *near : best;
     const auto own =
         std::find_if(from.begin(), from.end(), [](const candidate &item) { return item.own; });
     return own != from.end() && cheaper(*own, from[best]) ? own->number : from[best].number;
 }
 
-/// One of the targets in this failure domain, in proportion to what they can do.
-std::optional<std::size_t> target_selector::draw_near(const std::vector<candidate> &from,
-                                                      const std::string &route) {
+/// Draws one of the targets in this failure domain, weighted by capacity.
+std::optional<std::size_t> target_selector::draw_same_domain(const std::vector<candidate> &from,
+                                                             const std::string &route) {
     std::vector<double> weights;
     bool any = false;
     for (const candidate &item : from) {
@@ -167,8 +168,8 @@
     state &known = m_targets[number];
     known.load = load;
     if (load.route_time > duration{}) {
-        if (known.by_route.size() >= most_routes) {
-            known.by_route.clear(); // also of routes that a table has dropped since
+        if (known.by_route.size() >= max_routes) {
+            known.by_route.clear(); // includes routes that a newer routing table has removed
         }
         known.by_route[route] = load.route_time;
     }
--- a/tests/coordination/key_load_counter_test.cpp
+++ b/tests/coordination/key_load_counter_test.cpp
@@ -20,12 +20,12 @@
 
 } // namespace
 
-TEST_CASE("what was asked for is reported a second and by range, once") {
+TEST_CASE("requests are reported once, as a rate by range") {
     key_load_counter counter;
     count(counter, 5, 6);
     count(counter, 99, 4);
     count(counter, 100, 8);
-    count(counter, 5000, 2); // of a range that has moved away since
+    count(counter, 5000, 2); // in a range that has moved to another target since
     renew_request request;
     counter.report(request, two_ranges, 1000, 2);
     REQUIRE(request.loads.size() == 2);
@@ -39,7 +39,7 @@
     CHECK(next.hot_keys.empty());
 }
 
-TEST_CASE("a range is cut into parts of a tenth of what its target does") {
+TEST_CASE("a range is split into parts of a tenth of its target's capacity") {
     key_load_counter counter;
     for (std::uint32_t key = 0; key < 100; ++key) {
         count(counter, key, 2);
--- a/tests/coordination/target_selector_test.cpp
+++ b/tests/coordination/target_selector_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("the target that will be done first is chosen more often, the fullest hardly ever") {
+TEST_CASE("the target with the earliest completion is chosen more often, the fullest never") {
     three_targets world;
     world.selector.note(1, {.in_flight = 2, .limit = 18, .service_time = 100ms}, start);
     world.selector.note(2, {.in_flight = 9, .limit = 18, .service_time = 100ms}, start);
@@ -39,7 +39,7 @@
     CHECK(counts.count(3) == 0);
 }
 
-TEST_CASE("a target three times as fast is given about as much more") {
+TEST_CASE("a target that is three times as fast gets most of the requests") {
     three_targets world;
     world.selector.note(1, {.limit = 18, .service_time = 100ms}, start);
     world.selector.note(2, {.limit = 18, .service_time = 300ms}, start);
@@ -48,7 +48,7 @@
     CHECK(counts.at(1) > 450);
 }
 
-TEST_CASE("a target that fails again and again is left out for a while, but never all of them") {
+TEST_CASE("a target that fails repeatedly is ejected for a while, but never all of them") {
     three_targets world;
     const auto fail = [&](target_number number) {
         for (int i = 0; i < 3; ++i) {
@@ -77,9 +77,10 @@
     CHECK(world.choose(1, start, {1, 2, 3}).count(no_target) == 1);
 }
 
-TEST_CASE("a large body goes where its turn comes first, a small request does not care") {
-    // Symptom: uploads, and the small calls behind them, took seconds to reach two targets while
-    // the links of others were free. Cause: only what waited for the targets was looked at.
+TEST_CASE("the wait for receiving large bodies affects large requests only") {
+    // Guards against uploads, and small calls behind them, taking seconds to reach two targets
+    // while the links of others are idle, if only the requests waiting for the targets are
+    // considered.
     three_targets world;
     world.selector.note(1, {.limit = 18, .service_time = 100ms, .body_wait = 900ms}, start);
     world.selector.note(2, {.limit = 18, .service_time = 100ms, .body_wait = 50ms}, start);
@@ -89,26 +90,26 @@
     CHECK(world.choose(900, start).at(2) > 550); // whenever it is drawn
 }
 
-// Guards against a target that is given short requests being taken for a quick one.
-TEST_CASE("a target is judged by its times for the route that is asked for") {
+// Guards against treating a target as fast because it receives short requests.
+TEST_CASE("a target's cost is estimated from its service time on the requested route") {
     three_targets world;
-    const auto tell = [&](target_number number, duration mean, duration backlog) {
+    const auto report_load = [&](target_number number, duration mean, duration backlog) {
         target_load load{.in_flight = 18, .limit = 18, .service_time = mean, .backlog = backlog};
         load.route_time = 150ms;
         world.selector.note(number, load, start, "booking");
         load.route_time = 22ms;
         world.selector.note(number, load, start, "call");
     };
-    tell(1, 40ms, 90ms); // many calls, and a queue of bookings
-    tell(2, 150ms, 0ms);
-    tell(3, 150ms, 0ms);
+    report_load(1, 40ms, 90ms); // many calls, and a queue of bookings
+    report_load(2, 150ms, 0ms);
+    report_load(3, 150ms, 0ms);
     for (const char *route : {"booking", "call"}) {
         world.shape.route = route;
         CHECK(world.choose(300, start)[1] == 0);
     }
 }
 
-TEST_CASE("a target in the same failure domain is looked at with each choice") {
+TEST_CASE("a target in the same failure domain is always considered") {
     target_selector selector({.failure_domain = "a"}, 5);
     std::vector<target_route> routes(20);
     std::vector<const target_route *> list;
@@ -119,11 +120,11 @@
         selector.note(number, {.in_flight = 9, .limit = 18, .service_time = 100ms}, start);
         list.push_back(&route);
     }
-    int near = 0;
+    int same_domain = 0;
     for (int i = 0; i < 300; ++i) {
-        near += selector.choose(list, {}, {}, start) <= 4 ? 1 : 0;
+        same_domain += selector.choose(list, {}, {}, start) <= 4 ? 1 : 0;
     }
-    CHECK(near == 300);
+    CHECK(same_domain == 300);
     for (target_number number = 1; number <= 4; ++number) {
         selector.note(number, {.in_flight = 18, .waiting = 9, .limit = 18, .service_time = 100ms},
                       start);
@@ -131,7 +132,7 @@
     CHECK(selector.choose(list, {}, {}, start) > 4);
 }
 
-TEST_CASE("the target beside the node is always looked at, and costs no way over a link") {
+TEST_CASE("the target beside the node is always considered, without the wait for large bodies") {
     three_targets world;
     world.routes[2].address = "own";
     for (const target_number number : {1U, 2U, 3U}) {
@@ -146,10 +147,10 @@
     CHECK(world.choose(300, start).count(3) == 0);
 }
 
-TEST_CASE("a target that can't be reached is left out at once") {
-    // Symptom: for four seconds an eighth of the calls failed. Sequence: a third of a service's
-    // targets fell silent with their nodes; every node tried each of them three times, and each try
-    // took as long as a call may. Cause: a connection that can't be made counted like any failure.
+TEST_CASE("an unreachable target is ejected immediately") {
+    // Guards against counting a failed connection like any other failure: when a third of a
+    // service's targets went down with their nodes, every node tried each of them three times, each
+    // attempt took a full call time-out, and an eighth of the calls failed for four seconds.
     three_targets world;
     world.selector.sent(2);
     world.selector.ended(2, call_end::unreachable, start);
