--- a/include/peppertack/coordination/returning_callers.hpp
+++ b/include/peppertack/coordination/retry_detector.hpp
@@ -15,11 +15,11 @@
 /// and with two retries per caller, 36% of the answers were late without recognition and none with
 /// it. Attempts have different ids but the same deadline of the caller; a new caller with the same
 /// time-out has a later deadline than any that was refused before. Not thread safe.
-class returning_callers {
+class retry_detector {
 public:
     /// Records that a request was refused with a retry time; its caller first sent it at `asked`
     /// and waits until `deadline`.
-    void note(const std::string &route, instant deadline, instant asked, instant now);
+    void record_refusal(const std::string &route, instant deadline, instant asked, instant now);
     /// Returns when the caller of a request first sent it, if it was refused before and first sent
     /// more than 60 ms ago. Removes the record.
     std::optional<instant> take(const std::string &route, instant deadline, instant now);
--- a/include/peppertack/coordination/traffic_policy.hpp
+++ b/include/peppertack/coordination/traffic_policy.hpp
@@ -10,7 +10,7 @@
 struct traffic_policy {
     bool dependency_admission = true; ///< see `dependency_admission`
     bool nested_calls_first = true;   ///< nested calls go before all other requests
-    bool retry_recognition = true;    ///< see `returning_callers`
+    bool retry_recognition = true;    ///< see `retry_detector`
     bool equal_shares = true;         ///< see `recent_service`
     bool drain_standing = true;       ///< see `work_queue`
     bool two_choices = true;          ///< see `target_selector`
--- a/include/peppertack/transport/traffic/traffic_host.hpp
+++ b/include/peppertack/transport/traffic/traffic_host.hpp
@@ -3,7 +3,7 @@
 #include "peppertack/coordination/admission_level.hpp"
 #include "peppertack/coordination/dependency_admission.hpp"
 #include "peppertack/coordination/nested_call_detector.hpp"
-#include "peppertack/coordination/returning_callers.hpp"
+#include "peppertack/coordination/retry_detector.hpp"
 #include "peppertack/transport/http/http_client_pool.hpp"
 #include "peppertack/transport/http/http_server.hpp"
 #include "peppertack/transport/request_log.hpp"
@@ -86,7 +86,7 @@
     /// What the services that the local target calls leave room for.
     dependency_admission &dependencies() { return m_dependencies; }
     /// Callers that were refused here and told when to come back.
-    returning_callers &returning() { return m_returning; }
+    retry_detector &returning() { return m_returning; }
     void enter(timed_request *request) { m_requests.insert(request); }
     void leave(timed_request *request) { m_requests.erase(request); }
     /// Large bodies on their way to this node from others. Their senders wait to be asked, so that
@@ -133,7 +133,7 @@
     admission_meter m_meter;
     admission_board m_board;
     dependency_admission m_dependencies;
-    returning_callers m_returning;
+    retry_detector m_returning;
     node_agent m_agent;
     hold_call_runner m_hold_calls;
     work_queue m_body_turns;
--- a/src/coordination/returning_callers.cpp
+++ b/src/coordination/retry_detector.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/returning_callers.hpp"
+#include "peppertack/coordination/retry_detector.hpp"
 
 namespace peppertack {
 
@@ -13,14 +13,14 @@
 
 } // namespace
 
-void returning_callers::remove_expired(by_deadline &callers, instant now) {
+void retry_detector::remove_expired(by_deadline &callers, instant now) {
     const auto expired_end = callers.upper_bound(now);
     m_size -= static_cast<std::size_t>(std::distance(callers.begin(), expired_end));
     callers.erase(callers.begin(), expired_end);
 }
 
-void returning_callers::note(const std::string &route, instant deadline, instant asked,
-                             instant now) {
+void retry_detector::record_refusal(const std::string &route, instant deadline, instant asked,
+                                    instant now) {
     if (m_size >= max_records) {
         // Includes routes that are no longer requested, whose records would fill the limit forever.
         for (auto &[name, recorded] : m_routes) {
@@ -36,8 +36,8 @@
     }
 }
 
-std::optional<instant> returning_callers::take(const std::string &route, instant deadline,
-                                               instant now) {
+std::optional<instant> retry_detector::take(const std::string &route, instant deadline,
+                                            instant now) {
     const auto known = m_routes.find(route);
     if (known == m_routes.end()) {
         return std::nullopt;
--- a/src/transport/traffic/entry_relay.cpp
+++ b/src/transport/traffic/entry_relay.cpp
@@ -544,7 +544,7 @@
         const auto pause = static_cast<double>(std::max(retry_after, duration(1000)).count());
         headers.push_back(
             {"Retry-After", seconds_text(duration(static_cast<duration::rep>(pause * factor)))});
-        m_host.returning().note(m_route.name, m_caller_deadline, m_asked, now);
+        m_host.returning().record_refusal(m_route.name, m_caller_deadline, m_asked, now);
     }
     if (status < first_failure_status) {
         log_denial(status, kind, now);
