--- a/include/peppertack/coordination/recent_service.hpp
+++ b/include/peppertack/coordination/service_share_tracker.hpp
@@ -14,7 +14,7 @@
 /// earliest objective alone the kind with the shortest objective is served in full and the other
 /// starves: in virtual time, at three times the capacity, 99% of the short requests and 1% of the
 /// long ones were served; with fair shares 43% and 33%. Not thread safe.
-class recent_service {
+class service_share_tracker {
 public:
     struct request_kind {
         /// Sent by a caller; false for a nested call, which goes before all other requests.
@@ -29,11 +29,11 @@
     };
 
     /// Records an incoming request of `kind`.
-    void note_asked(const request_kind &kind, instant now);
+    void record_offered(const request_kind &kind, instant now);
     /// Records that an incoming request of `kind` was refused, immediately or after a wait.
-    void note_refused(const request_kind &kind, instant now);
+    void record_refused(const request_kind &kind, instant now);
     /// Records an accepted request of `kind` that is expected to occupy a slot for `work`.
-    void note_taken(const request_kind &kind, duration work, instant now);
+    void record_accepted(const request_kind &kind, duration work, instant now);
 
     /// Whether a clearly larger share of `kind` was served than of another kind of the same
     /// priority.
@@ -52,13 +52,13 @@
         void add(double amount, instant now);
     };
     struct record {
-        decaying_sum asked;
+        decaying_sum offered;
         decaying_sum refused;
         decaying_sum work; ///< microseconds
     };
 
-    static double part_served(const record &kind, instant now);
-    double least_part_served(const request_kind &peer, instant now) const;
+    static double served_share(const record &kind, instant now);
+    double min_served_share(const request_kind &peer, instant now) const;
 
     std::map<request_kind, record> m_kinds;
 };
--- a/include/peppertack/coordination/traffic_policy.hpp
+++ b/include/peppertack/coordination/traffic_policy.hpp
@@ -11,7 +11,7 @@
     bool dependency_admission = true; ///< see `dependency_admission`
     bool nested_calls_first = true;   ///< nested calls go before all other requests
     bool retry_recognition = true;    ///< see `retry_detector`
-    bool equal_shares = true;         ///< see `recent_service`
+    bool equal_shares = true;         ///< see `service_share_tracker`
     bool drain_standing = true;       ///< see `work_queue`
     bool two_choices = true;          ///< see `target_selector`
     bool times_by_route = true;       ///< see `target_selector`
--- a/include/peppertack/coordination/work_queue.hpp
+++ b/include/peppertack/coordination/work_queue.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peppertack/coordination/rate_limit.hpp"
-#include "peppertack/coordination/recent_service.hpp"
+#include "peppertack/coordination/service_share_tracker.hpp"
 #include "peppertack/state/time.hpp"
 
 #include <cstdint>
@@ -105,7 +105,7 @@
 
     options m_options;
     rate_limit m_rate;
-    recent_service m_recent;
+    service_share_tracker m_service_shares;
     std::uint32_t m_in_flight = 0;
     std::uint64_t m_finished = 0;
     std::vector<item> m_waiting;     ///< in order of arrival
--- a/src/coordination/recent_service.cpp
+++ b/src/coordination/service_share_tracker.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/recent_service.hpp"
+#include "peppertack/coordination/service_share_tracker.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -14,78 +14,80 @@
 /// work.
 constexpr double fair_margin = 0.1;
 /// The served share of fewer requests is not significant.
-constexpr double min_asked = 8;
+constexpr double min_offered = 8;
 /// At this number of kinds the unused ones are evicted: each decision iterates over all of them.
 constexpr std::size_t max_kinds = 64;
 constexpr double eviction_threshold = 0.01;
 
-bool same_rank(const recent_service::request_kind &a, const recent_service::request_kind &b) {
+bool same_rank(const service_share_tracker::request_kind &a,
+               const service_share_tracker::request_kind &b) {
     return a.direct == b.direct && a.late == b.late && a.priority == b.priority;
 }
 
-bool ranks_before(const recent_service::request_kind &a, const recent_service::request_kind &b) {
+bool ranks_before(const service_share_tracker::request_kind &a,
+                  const service_share_tracker::request_kind &b) {
     return std::tie(a.direct, a.late, a.priority) < std::tie(b.direct, b.late, b.priority);
 }
 
 } // namespace
 
-double recent_service::decaying_sum::at_time(instant now) const {
+double service_share_tracker::decaying_sum::at_time(instant now) const {
     const double passed = std::chrono::duration<double>(now - at) / decay_time;
     return sum * std::exp(-std::max(passed, 0.0));
 }
 
-void recent_service::decaying_sum::add(double amount, instant now) {
+void service_share_tracker::decaying_sum::add(double amount, instant now) {
     sum = at_time(now) + amount;
     at = now;
 }
 
-double recent_service::part_served(const record &kind, instant now) {
-    const double asked = kind.asked.at_time(now);
-    return asked < min_asked ? 1 : 1 - kind.refused.at_time(now) / asked;
+double service_share_tracker::served_share(const record &kind, instant now) {
+    const double offered = kind.offered.at_time(now);
+    return offered < min_offered ? 1 : 1 - kind.refused.at_time(now) / offered;
 }
 
-void recent_service::note_asked(const request_kind &kind, instant now) {
+void service_share_tracker::record_offered(const request_kind &kind, instant now) {
     if (m_kinds.size() >= max_kinds) {
         std::erase_if(m_kinds, [&](const auto &known) {
-            return known.second.asked.at_time(now) < eviction_threshold;
+            return known.second.offered.at_time(now) < eviction_threshold;
         });
     }
-    m_kinds[kind].asked.add(1, now);
+    m_kinds[kind].offered.add(1, now);
 }
 
-void recent_service::note_refused(const request_kind &kind, instant now) {
+void service_share_tracker::record_refused(const request_kind &kind, instant now) {
     m_kinds[kind].refused.add(1, now);
 }
 
-void recent_service::note_taken(const request_kind &kind, duration work, instant now) {
+void service_share_tracker::record_accepted(const request_kind &kind, duration work, instant now) {
     m_kinds[kind].work.add(static_cast<double>(work.count()), now);
 }
 
 /// Lowest served share among the kinds of the same rank as `peer`.
-double recent_service::least_part_served(const request_kind &peer, instant now) const {
+double service_share_tracker::min_served_share(const request_kind &peer, instant now) const {
     double least = 1;
     for (const auto &[kind, known] : m_kinds) {
-        least = same_rank(kind, peer) ? std::min(least, part_served(known, now)) : least;
+        least = same_rank(kind, peer) ? std::min(least, served_share(known, now)) : least;
     }
     return least;
 }
 
-bool recent_service::over_served(const request_kind &kind, instant now) const {
+bool service_share_tracker::over_served(const request_kind &kind, instant now) const {
     const auto own = m_kinds.find(kind);
     if (own == m_kinds.end()) {
         return false;
     }
-    return part_served(own->second, now) > least_part_served(kind, now) + fair_margin;
+    return served_share(own->second, now) > min_served_share(kind, now) + fair_margin;
 }
 
-double recent_service::slots_before(const request_kind &kind, instant now) const {
-    const double fair_part = least_part_served(kind, now) + fair_margin;
+double service_share_tracker::slots_before(const request_kind &kind, instant now) const {
+    const double fair_part = min_served_share(kind, now) + fair_margin;
     const bool yields = over_served(kind, now);
     double work = 0;
     for (const auto &[other, known] : m_kinds) {
         const bool peer = same_rank(other, kind) && yields;
         const bool before =
-            ranks_before(other, kind) || (peer && part_served(known, now) <= fair_part);
+            ranks_before(other, kind) || (peer && served_share(known, now) <= fair_part);
         work += before ? known.work.at_time(now) : 0;
     }
     return work / static_cast<double>(duration(decay_time).count());
--- a/src/coordination/work_queue.cpp
+++ b/src/coordination/work_queue.cpp
@@ -23,7 +23,7 @@
 constexpr duration min_retry_after = std::chrono::milliseconds(50);
 constexpr double min_mean_seconds = 0.0001;
 
-recent_service::request_kind kind_of(const work_queue::item &request, bool nested_first) {
+service_share_tracker::request_kind kind_of(const work_queue::item &request, bool nested_first) {
     return {.direct = !(nested_first && request.nested),
             .late = request.objective <= request.arrived,
             .priority = request.priority,
@@ -85,15 +85,16 @@
 /// Scheduling order: the smallest rank goes first.
 auto work_queue::rank(const item &request, instant now) const {
     const bool late = now + service_time(request.kind) > request.objective;
-    const recent_service::request_kind kind = kind_of(request, m_options.nested_first);
-    const bool over_served = m_options.equal_shares && m_recent.over_served(kind, now);
+    const service_share_tracker::request_kind kind = kind_of(request, m_options.nested_first);
+    const bool over_served = m_options.equal_shares && m_service_shares.over_served(kind, now);
     return std::tuple(kind.direct, kind.direct && late, request.priority, over_served,
                       request.objective);
 }
 
 /// Fraction of the target that requests ranked before this one recently used; assumed to persist.
 double work_queue::taken_before(const item &request, instant now) const {
-    const double slots = m_recent.slots_before(kind_of(request, m_options.nested_first), now);
+    const double slots =
+        m_service_shares.slots_before(kind_of(request, m_options.nested_first), now);
     return std::min(slots / m_options.limit, max_taken_before);
 }
 
@@ -154,12 +155,13 @@
 }
 
 work_queue::verdict work_queue::offer(const item &request, instant now) {
-    m_recent.note_asked(kind_of(request, m_options.nested_first), now);
+    m_service_shares.record_offered(kind_of(request, m_options.nested_first), now);
     if (!would_take(request, now)) {
-        m_recent.note_refused(kind_of(request, m_options.nested_first), now);
+        m_service_shares.record_refused(kind_of(request, m_options.nested_first), now);
         return verdict::refuse;
     }
-    m_recent.note_taken(kind_of(request, m_options.nested_first), service_time(request.kind), now);
+    m_service_shares.record_accepted(kind_of(request, m_options.nested_first),
+                                     service_time(request.kind), now);
     if (has_room(now)) {
         ++m_in_flight;
         m_rate.take(now);
@@ -175,7 +177,7 @@
         // requests that rank above it have used the capacity since.
         const bool over = !in_time(request, now) || request.deadline <= now;
         if (over) {
-            m_recent.note_refused(kind_of(request, m_options.nested_first), now);
+            m_service_shares.record_refused(kind_of(request, m_options.nested_first), now);
             infeasible.push_back(request.id);
         }
         return over;
