--- a/bench/node_bench.cpp
+++ b/bench/node_bench.cpp
@@ -1,6 +1,6 @@
 #include "bench_report.hpp"
 #include "peppertack/coordination/admission.hpp"
-#include "peppertack/coordination/key_memory.hpp"
+#include "peppertack/coordination/idempotency_store.hpp"
 #include "peppertack/coordination/route_map.hpp"
 #include "peppertack/protocol/codec.hpp"
 #include "peppertack/state/key_hash.hpp"
@@ -136,7 +136,7 @@
 void bench_key_memory(report &out) {
     constexpr std::size_t keys = 200'000;
     const double before = resident_bytes();
-    key_memory memory({.most_keys = keys});
+    idempotency_store memory({.max_keys = keys});
     std::size_t number = 0;
     const double ns = least_ns(keys / 5, [&] {
         remembered_key key{.service = "emision",
--- a/include/peppertack/coordination/key_memory.hpp
+++ b/include/peppertack/coordination/idempotency_store.hpp
@@ -13,18 +13,18 @@
 /// Idempotency keys with the outcomes of their requests. A key is kept for the whole retention
 /// period; when the store is full new keys are refused, since evicting one early could run a
 /// request twice. Not thread safe.
-class key_memory {
+class idempotency_store {
 public:
     struct options {
-        std::size_t most_keys = 80'000;
-        std::size_t most_answer_bytes =
+        std::size_t max_keys = 80'000;
+        std::size_t max_answer_bytes =
             16U << 20U; ///< total size of bodies; beyond it only keys are kept
-        std::size_t largest_answer = 256U << 10U; ///< larger bodies are not kept
+        std::size_t max_answer_size = 256U << 10U; ///< larger bodies are not kept
         std::int64_t retention_ms = 600'000;
     };
 
-    explicit key_memory(options settings) : m_options(settings) {}
-    key_memory() : key_memory(options{}) {}
+    explicit idempotency_store(options settings) : m_options(settings) {}
+    idempotency_store() : idempotency_store(options{}) {}
 
     /// Returns null if the key is unknown.
     const remembered_key *find(const std::string &service, const std::string &key) const;
--- a/include/peppertack/coordination/node_options.hpp
+++ b/include/peppertack/coordination/node_options.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peppertack/coordination/admission.hpp"
-#include "peppertack/coordination/key_memory.hpp"
+#include "peppertack/coordination/idempotency_store.hpp"
 #include "peppertack/coordination/lease_book.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/coordination/retry_budget.hpp"
@@ -40,7 +40,7 @@
     duration resend_interval = std::chrono::milliseconds(100);
     duration fate_retention = std::chrono::seconds(20); ///< how long answers can be asked after
     std::size_t fate_bytes = 32U << 20U;
-    key_memory::options memory;
+    idempotency_store::options memory;
     retry_budget::options retries;
     std::uint64_t seed = 1;
 };
--- a/include/peppertack/coordination/range_owner.hpp
+++ b/include/peppertack/coordination/range_owner.hpp
@@ -3,7 +3,7 @@
 #include "peppertack/coordination/admission.hpp"
 #include "peppertack/coordination/crash_watch.hpp"
 #include "peppertack/coordination/hot_key_counter.hpp"
-#include "peppertack/coordination/key_memory.hpp"
+#include "peppertack/coordination/idempotency_store.hpp"
 #include "peppertack/coordination/lease_client.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/coordination/node_options.hpp"
@@ -60,7 +60,7 @@
     /// way to another, and the lease holds.
     bool serves(std::uint64_t hash, instant now) const;
     const admission &admitted() const { return m_admission; }
-    const key_memory &memory() const { return m_memory; }
+    const idempotency_store &memory() const { return m_memory; }
     std::size_t unfinished() const { return m_served.size(); }
     std::size_t owned_ranges() const { return m_own.size(); }
     std::size_t standby_copies() const { return m_copies.size(); }
@@ -109,7 +109,7 @@
     };
     struct standby_copy {
         std::uint64_t last_sequence = 0;
-        key_memory keys;
+        idempotency_store keys;
         instant touched{};
     };
     struct handover_in {
@@ -155,7 +155,7 @@
     node_counters &m_counters;
     local_reply m_reply;
     admission m_admission;
-    key_memory m_memory;
+    idempotency_store m_memory;
     standby_link m_standby;
     hot_key_counter m_hot;
     crash_watch m_crashes;
--- a/include/peppertack/coordination/standby_link.hpp
+++ b/include/peppertack/coordination/standby_link.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peppertack/coordination/key_memory.hpp"
+#include "peppertack/coordination/idempotency_store.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/state/time.hpp"
 
@@ -41,7 +41,7 @@
     bool add(const remembered_key &key, std::optional<standby_waiter> waiter);
     bool add_all(const std::vector<remembered_key> &keys, standby_waiter waiter);
     /// Sends what is due.
-    void step(const key_memory &memory, instant now, std::vector<outgoing> &messages);
+    void step(const idempotency_store &memory, instant now, std::vector<outgoing> &messages);
     /// Takes a reply; yields the waiters that it releases.
     std::vector<standby_waiter> receive(const remember_reply &reply);
 
--- a/src/coordination/key_memory.cpp
+++ b/src/coordination/idempotency_store.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/key_memory.hpp"
+#include "peppertack/coordination/idempotency_store.hpp"
 
 #include <algorithm>
 
@@ -16,16 +16,17 @@
 
 } // namespace
 
-const remembered_key *key_memory::find(const std::string &service, const std::string &key) const {
+const remembered_key *idempotency_store::find(const std::string &service,
+                                              const std::string &key) const {
     const auto found = m_keys.find(joined(service, key));
     return found == m_keys.end() ? nullptr : &found->second;
 }
 
-bool key_memory::put(remembered_key value) {
+bool idempotency_store::put(remembered_key value) {
     const std::string name = joined(value.service, value.idempotency_key);
     const auto found = m_keys.find(name);
     if (found == m_keys.end()) {
-        if (m_keys.size() >= m_options.most_keys) {
+        if (m_keys.size() >= m_options.max_keys) {
             return false;
         }
         m_by_time.emplace(value.wall_ms, name);
@@ -34,7 +35,7 @@
         m_answer_bytes -= body_size(found->second);
     }
     const std::size_t size = body_size(value);
-    if (size > m_options.largest_answer || m_answer_bytes + size > m_options.most_answer_bytes) {
+    if (size > m_options.max_answer_size || m_answer_bytes + size > m_options.max_answer_bytes) {
         drop_body(value);
     }
     m_answer_bytes += body_size(value);
@@ -44,12 +45,12 @@
 
 /// Without its body the answer can't be returned again, but it is still known that the request was
 /// received, so it is not run again.
-void key_memory::drop_body(remembered_key &value) {
+void idempotency_store::drop_body(remembered_key &value) {
     value.response.body.reset();
     value.phase = key_phase::unknown;
 }
 
-void key_memory::erase(const std::string &service, const std::string &key) {
+void idempotency_store::erase(const std::string &service, const std::string &key) {
     const std::string name = joined(service, key);
     const auto found = m_keys.find(name);
     if (found == m_keys.end()) {
@@ -65,8 +66,9 @@
     m_keys.erase(found);
 }
 
-std::vector<remembered_key> key_memory::in_range(const std::string &service, std::uint64_t first,
-                                                 std::uint64_t last) const {
+std::vector<remembered_key> idempotency_store::in_range(const std::string &service,
+                                                        std::uint64_t first,
+                                                        std::uint64_t last) const {
     std::vector<remembered_key> result;
     for (const auto &[name, value] : m_keys) {
         if (value.service == service && value.hash >= first && value.hash <= last) {
@@ -76,7 +78,7 @@
     return result;
 }
 
-std::vector<remembered_key> key_memory::all() const {
+std::vector<remembered_key> idempotency_store::all() const {
     std::vector<remembered_key> result;
     result.reserve(m_keys.size());
     for (const auto &[name, value] : m_keys) {
@@ -85,7 +87,7 @@
     return result;
 }
 
-void key_memory::expire(std::int64_t wall_ms) {
+void idempotency_store::expire(std::int64_t wall_ms) {
     while (!m_by_time.empty() && m_by_time.begin()->first + m_options.retention_ms < wall_ms) {
         const auto found = m_keys.find(m_by_time.begin()->second);
         m_answer_bytes -= body_size(found->second);
@@ -94,7 +96,7 @@
     }
 }
 
-void key_memory::clear() {
+void idempotency_store::clear() {
     m_keys.clear();
     m_by_time.clear();
     m_answer_bytes = 0;
--- a/src/coordination/range_owner.cpp
+++ b/src/coordination/range_owner.cpp
@@ -495,7 +495,7 @@
     if (answer.held && !repeated) {
         standby_copy &copy = m_copies.try_emplace(request.owner).first->second;
         if (request.replace_all) {
-            copy.keys = key_memory(m_options.memory);
+            copy.keys = idempotency_store(m_options.memory);
         }
         copy.last_sequence = request.sequence;
         copy.touched = at.now;
--- a/src/coordination/standby_link.cpp
+++ b/src/coordination/standby_link.cpp
@@ -62,7 +62,8 @@
     return true;
 }
 
-void standby_link::step(const key_memory &memory, instant now, std::vector<outgoing> &messages) {
+void standby_link::step(const idempotency_store &memory, instant now,
+                        std::vector<outgoing> &messages) {
     if (m_standby == no_target || m_address.empty()) {
         return;
     }
--- a/tests/coordination/parts_test.cpp
+++ b/tests/coordination/parts_test.cpp
@@ -1,6 +1,6 @@
 #include "peppertack/coordination/admission.hpp"
 #include "peppertack/coordination/hot_key_counter.hpp"
-#include "peppertack/coordination/key_memory.hpp"
+#include "peppertack/coordination/idempotency_store.hpp"
 #include "peppertack/coordination/lease_book.hpp"
 #include "peppertack/coordination/placement.hpp"
 #include "peppertack/coordination/retry_budget.hpp"
@@ -137,7 +137,7 @@
 }
 
 TEST_CASE("remembered keys stay for their retention and are not crowded out") {
-    key_memory memory({.most_keys = 2, .largest_answer = 4, .retention_ms = 100});
+    idempotency_store memory({.max_keys = 2, .max_answer_size = 4, .retention_ms = 100});
     CHECK(memory.put({.service = "s", .idempotency_key = "a", .wall_ms = 0}));
     CHECK(memory.put({.service = "s", .idempotency_key = "b", .wall_ms = 50}));
     CHECK_FALSE(memory.put({.service = "s", .idempotency_key = "c", .wall_ms = 60}));
@@ -217,7 +217,7 @@
     // Symptom: a resend runs again after a loss. Sequence: the standby answers that it does not
     // hold the copy; a new key arrives. Cause it guards against: going on with single changes.
     standby_link link({});
-    key_memory memory;
+    idempotency_store memory;
     std::vector<outgoing> sent;
     target_route own{.number = 1, .standby = 2, .standby_epoch = 9};
     link.follow(1, own, "h:2");
