--- a/include/peppertack/coordination/admission_level.hpp
+++ b/include/peppertack/coordination/admission_level.hpp
@@ -16,7 +16,7 @@
 };
 
 /// Exponentially decaying sum with a time constant of one second.
-class fading_sum {
+class decaying_sum {
 public:
     void add(double amount, instant now);
     double at_time(instant now) const;
@@ -48,18 +48,18 @@
 
 private:
     struct counts {
-        fading_sum offered;
-        fading_sum rejected;
+        decaying_sum offered;
+        decaying_sum rejected;
     };
     std::map<admission_class, counts> m_classes;
 };
 
 /// Aggregates, at the node beside a target, the shares measured by the nodes that send requests to
 /// it. Not thread safe.
-class admission_board {
+class admission_level_aggregator {
 public:
     /// Records a direct request whose sender measured `share` for such requests.
-    void note(const admission_class &request, int priority, double share, instant now);
+    void record(const admission_class &request, int priority, double share, instant now);
     /// Mean of the reported shares of requests that are at least as urgent as `priority`. A service
     /// whose requests of that priority make nested calls here has to shed the same share; less
     /// urgent requests are excluded, because they have been shed here already.
@@ -67,14 +67,14 @@
     std::size_t size() const { return m_classes.size(); }
 
 private:
-    struct record {
+    struct class_stats {
         int priority = 0; ///< 0 is the most urgent
-        fading_sum requests;
-        fading_sum shares;
+        decaying_sum requests;
+        decaying_sum shares;
     };
     double mean_share(bool expired, int priority, instant now) const;
 
-    std::map<admission_class, record> m_classes;
+    std::map<admission_class, class_stats> m_classes;
 };
 
 } // namespace peppertack
--- a/include/peppertack/transport/traffic/traffic_host.hpp
+++ b/include/peppertack/transport/traffic/traffic_host.hpp
@@ -82,7 +82,7 @@
     /// Which share of callers' requests that came here was taken.
     admission_meter &meter() { return m_meter; }
     /// Which share of direct requests to the local target was taken, by all who send them.
-    admission_board &board() { return m_board; }
+    admission_level_aggregator &board() { return m_board; }
     /// What the services that the local target calls leave room for.
     dependency_admission &dependencies() { return m_dependencies; }
     /// Callers that were refused here and told when to come back.
@@ -131,7 +131,7 @@
     std::mt19937_64 m_random;
     nested_call_detector m_nested_calls;
     admission_meter m_meter;
-    admission_board m_board;
+    admission_level_aggregator m_board;
     dependency_admission m_dependencies;
     retry_detector m_returning;
     node_agent m_agent;
--- a/src/coordination/admission_level.cpp
+++ b/src/coordination/admission_level.cpp
@@ -16,12 +16,12 @@
 
 } // namespace
 
-void fading_sum::add(double amount, instant now) {
+void decaying_sum::add(double amount, instant now) {
     m_sum = at_time(now) + amount;
     m_at = now;
 }
 
-double fading_sum::at_time(instant now) const {
+double decaying_sum::at_time(instant now) const {
     const double passed = std::chrono::duration<double>(now - m_at) / decay_time;
     return m_sum * std::exp(-std::max(passed, 0.0));
 }
@@ -54,20 +54,20 @@
     return std::clamp(1 - known->second.rejected.at_time(now) / offered, 0.0, 1.0);
 }
 
-void admission_board::note(const admission_class &request, int priority, double share,
-                           instant now) {
+void admission_level_aggregator::record(const admission_class &request, int priority, double share,
+                                        instant now) {
     if (m_classes.size() >= max_classes) {
         std::erase_if(m_classes, [now](const auto &known) {
             return known.second.requests.at_time(now) < eviction_threshold;
         });
     }
-    record &known = m_classes[request];
+    class_stats &known = m_classes[request];
     known.priority = priority;
     known.requests.add(1, now);
     known.shares.add(share, now);
 }
 
-double admission_board::mean_share(bool expired, int priority, instant now) const {
+double admission_level_aggregator::mean_share(bool expired, int priority, instant now) const {
     double requests = 0;
     double shares = 0;
     for (const auto &[request, known] : m_classes) {
@@ -79,7 +79,7 @@
     return requests < min_requests ? 1 : shares / requests;
 }
 
-admission_level admission_board::level(int priority, instant now) const {
+admission_level admission_level_aggregator::level(int priority, instant now) const {
     return {.fresh = mean_share(false, priority, now), .expired = mean_share(true, priority, now)};
 }
 
--- a/src/transport/traffic/target_relay.cpp
+++ b/src/transport/traffic/target_relay.cpp
@@ -107,7 +107,7 @@
         return true; // a request that is under way depends on it
     }
     if (!std::exchange(m_offered, true) && m_hop.first_choice) {
-        m_host.board().note({m_hop.route, expired()}, m_hop.priority, m_hop.admitted, now);
+        m_host.board().record({m_hop.route, expired()}, m_hop.priority, m_hop.admitted, now);
     }
     const double draw = std::uniform_real_distribution<double>(0, 1)(m_host.random());
     return !m_host.options().policy.dependency_admission ||
--- a/tests/coordination/dependency_admission_test.cpp
+++ b/tests/coordination/dependency_admission_test.cpp
@@ -145,7 +145,7 @@
     void try_booking(int tries, instant objective) {
         const admission_class kind{"booking", objective <= m_time.now()};
         m_meter.note_offered(kind, m_time.now());
-        m_board.note(kind, 1, m_meter.share(kind, m_time.now()), m_time.now());
+        m_aggregator.record(kind, 1, m_meter.share(kind, m_time.now()), m_time.now());
         m_desk.offer({.item = item("booking", false, 1, objective),
                       .begin =
                           [this, objective] {
@@ -211,16 +211,16 @@
                       .begin =
                           [this, calls, done] {
                               m_time.at(m_time.now() + call_work, [this, calls, done] {
-                                  m_dependencies.note_taken("call", m_board.level(2, m_time.now()),
-                                                            m_time.now());
+                                  m_dependencies.note_taken(
+                                      "call", m_aggregator.level(2, m_time.now()), m_time.now());
                                   m_desk.end("call", call_work);
                                   call(calls - 1, done);
                               });
                           },
                       .rejected =
                           [this, done] {
-                              m_dependencies.note_rejected("call", m_board.level(2, m_time.now()),
-                                                           m_time.now());
+                              m_dependencies.note_rejected(
+                                  "call", m_aggregator.level(2, m_time.now()), m_time.now());
                               done(false);
                           }});
     }
@@ -232,7 +232,7 @@
     queued_target m_portal{m_time, 85};
     queued_target m_desk{m_time, 68};
     admission_meter m_meter;
-    admission_board m_board;
+    admission_level_aggregator m_aggregator;
     dependency_admission m_dependencies;
 };
 
@@ -326,15 +326,15 @@
 // Guards against memory growth with each change of the routing table.
 TEST_CASE("routes that are no longer requested are evicted") {
     admission_meter meter;
-    admission_board board;
+    admission_level_aggregator aggregator;
     instant now = start;
     for (int i = 0; i < 2000; ++i, now += 100ms) {
         const admission_class request{"r-" + std::to_string(i), false};
         meter.note_offered(request, now);
-        board.note(request, 1, 1, now);
+        aggregator.record(request, 1, 1, now);
     }
     CHECK(meter.size() <= 100);
-    CHECK(board.size() <= 100);
+    CHECK(aggregator.size() <= 100);
 }
 
 TEST_CASE("the accepted share is the mean of the shares that all senders measured") {
@@ -348,14 +348,14 @@
     }
     CHECK(meter.share(fresh, start) == doctest::Approx(0.75));
     CHECK(meter.share({"booking", true}, start) == 1);
-    admission_board board;
+    admission_level_aggregator aggregator;
     for (int i = 0; i < 10; ++i) {
-        board.note(fresh, 1, 0.75, start);
-        board.note(fresh, 1, 0.25, start);
-        board.note({"report", false}, 3, 0,
-                   start); // less urgent: excluded, since it has been shed already
+        aggregator.record(fresh, 1, 0.75, start);
+        aggregator.record(fresh, 1, 0.25, start);
+        aggregator.record({"report", false}, 3, 0,
+                          start); // less urgent: excluded, since it has been shed already
     }
-    CHECK(board.level(2, start).fresh == doctest::Approx(0.5));
-    CHECK(board.level(0, start).fresh == 1);
-    CHECK(board.level(2, start).expired == 1);
+    CHECK(aggregator.level(2, start).fresh == doctest::Approx(0.5));
+    CHECK(aggregator.level(0, start).fresh == 1);
+    CHECK(aggregator.level(2, start).expired == 1);
 }
