--- a/include/peppertack/coordination/admission_level.hpp
+++ b/include/peppertack/coordination/admission_level.hpp
@@ -39,9 +39,9 @@
 /// the last target tried. Not thread safe.
 class admission_meter {
 public:
-    void note_offered(const admission_class &request, instant now);
+    void record_offered(const admission_class &request, instant now);
     /// Precondition: the request was noted as offered.
-    void note_rejected(const admission_class &request, instant now);
+    void record_rejected(const admission_class &request, instant now);
     /// Share of such requests that was accepted recently; 1 while too few were offered.
     double share(const admission_class &request, instant now) const;
     std::size_t size() const { return m_classes.size(); }
--- a/include/peppertack/coordination/dependency_admission.hpp
+++ b/include/peppertack/coordination/dependency_admission.hpp
@@ -20,12 +20,12 @@
 public:
     /// Records an accepted nested call of the local target on `route`; `reported` is the admission
     /// level that the called node reported with its answer.
-    void note_taken(const std::string &route, const admission_level &reported, instant now);
+    void record_accepted(const std::string &route, const admission_level &reported, instant now);
     /// Records a rejected request from this node on `route`: the called service has no capacity, or
     /// no target at all. Without a reported level it has no effect unless nested calls were
     /// recorded on the route.
-    void note_rejected(const std::string &route, const std::optional<admission_level> &reported,
-                       instant now);
+    void record_rejected(const std::string &route, const std::optional<admission_level> &reported,
+                         instant now);
     /// Shares of requests to admit: the minimum over all called services.
     admission_level level(instant now) const;
     /// Route of nested calls with the lowest share of requests to admit; empty if none limits it.
@@ -35,11 +35,11 @@
     /// Whether nested calls made now get the lowest priority at the called service.
     bool calls_expendable() const { return m_mode == mode::open; }
     /// Records the end of a run of the local target that was admitted at `started`.
-    void note_run(instant started, bool succeeded, instant now);
+    void record_run(instant started, bool succeeded, instant now);
 
 private:
-    void note(const std::string &route, const std::optional<admission_level> &reported,
-              bool rejected, instant now);
+    void record(const std::string &route, const std::optional<admission_level> &reported,
+                bool rejected, instant now);
 
     struct dependency {
         admission_level reported; ///< smoothed
--- a/include/peppertack/coordination/nested_call_detector.hpp
+++ b/include/peppertack/coordination/nested_call_detector.hpp
@@ -19,7 +19,7 @@
 public:
     /// Records a request on `route` that was sent by a target of the service `caller`, or by a
     /// caller beside such a target.
-    void note(const std::string &route, const std::string &caller, instant now);
+    void record(const std::string &route, const std::string &caller, instant now);
     /// The service whose running requests use the route; none if callers use it too, or too few
     /// requests were recorded.
     std::optional<std::string> calling_service(const std::string &route) const;
--- a/src/coordination/admission_level.cpp
+++ b/src/coordination/admission_level.cpp
@@ -26,7 +26,7 @@
     return m_sum * std::exp(-std::max(passed, 0.0));
 }
 
-void admission_meter::note_offered(const admission_class &request, instant now) {
+void admission_meter::record_offered(const admission_class &request, instant now) {
     if (m_classes.size() >= max_classes) {
         std::erase_if(m_classes, [now](const auto &known) {
             return known.second.offered.at_time(now) < eviction_threshold;
@@ -35,7 +35,7 @@
     m_classes[request].offered.add(1, now);
 }
 
-void admission_meter::note_rejected(const admission_class &request, instant now) {
+void admission_meter::record_rejected(const admission_class &request, instant now) {
     const auto known = m_classes.find(request);
     if (known != m_classes.end()) {
         known->second.rejected.add(1, now);
--- a/src/coordination/dependency_admission.cpp
+++ b/src/coordination/dependency_admission.cpp
@@ -33,22 +33,22 @@
 
 } // namespace
 
-void dependency_admission::note_taken(const std::string &route, const admission_level &reported,
-                                      instant now) {
-    note(route, reported, false, now);
+void dependency_admission::record_accepted(const std::string &route,
+                                           const admission_level &reported, instant now) {
+    record(route, reported, false, now);
 }
 
-void dependency_admission::note_rejected(const std::string &route,
-                                         const std::optional<admission_level> &reported,
-                                         instant now) {
+void dependency_admission::record_rejected(const std::string &route,
+                                           const std::optional<admission_level> &reported,
+                                           instant now) {
     if (reported || m_routes.count(route) != 0) {
-        note(route, reported, true, now);
+        record(route, reported, true, now);
     }
 }
 
-void dependency_admission::note(const std::string &route,
-                                const std::optional<admission_level> &reported, bool rejected,
-                                instant now) {
+void dependency_admission::record(const std::string &route,
+                                  const std::optional<admission_level> &reported, bool rejected,
+                                  instant now) {
     dependency &known = m_routes[route];
     if (now >= known.last_report + level_lifetime) {
         known = {};
@@ -131,7 +131,7 @@
     }
 }
 
-void dependency_admission::note_run(instant started, bool succeeded, instant now) {
+void dependency_admission::record_run(instant started, bool succeeded, instant now) {
     choose_mode(now);
     if (m_mode == mode::open && started >= m_entered) {
         ++m_runs;
--- a/src/coordination/nested_call_detector.cpp
+++ b/src/coordination/nested_call_detector.cpp
@@ -46,7 +46,8 @@
     std::erase_if(m_routes, [](const auto &item) { return item.second.empty(); });
 }
 
-void nested_call_detector::note(const std::string &route, const std::string &caller, instant now) {
+void nested_call_detector::record(const std::string &route, const std::string &caller,
+                                  instant now) {
     decay(now);
     m_routes[route][caller] += 1;
 }
--- a/src/transport/traffic/entry_relay.cpp
+++ b/src/transport/traffic/entry_relay.cpp
@@ -84,7 +84,7 @@
         return;
     }
     m_host.note_request(m_service);
-    m_host.meter().note_offered(admission(), m_received);
+    m_host.meter().record_offered(admission(), m_received);
 }
 
 bool entry_relay::read_route() {
@@ -351,7 +351,7 @@
         m_host.selector().note(m_target, m_hop.load, now, m_route.name);
     }
     if (m_hop.level && m_hop.refused == error_kind::none) {
-        m_host.dependencies().note_taken(m_route.name, *m_hop.level, now);
+        m_host.dependencies().record_accepted(m_route.name, *m_hop.level, now);
     }
     m_answer = std::move(head);
     remove_header(m_answer.headers, hop_header);
@@ -524,8 +524,8 @@
         kind = error_kind::target_lost;
     }
     if (lacks_room(kind)) {
-        m_host.meter().note_rejected(admission(), now);
-        m_host.dependencies().note_rejected(m_route.name, m_hop.level, now);
+        m_host.meter().record_rejected(admission(), now);
+        m_host.dependencies().record_rejected(m_route.name, m_hop.level, now);
         // Sooner there is hardly room, and one that comes back can't be in time any more.
         retry_after = std::max(retry_after, m_route.latency_objective);
     }
--- a/src/transport/traffic/target_relay.cpp
+++ b/src/transport/traffic/target_relay.cpp
@@ -62,8 +62,8 @@
     m_deadline = m_received + m_hop.time_left;
     m_objective = m_received + m_hop.objective_left;
     const std::string *caller = head.find(m_host.options().headers.caller_service);
-    m_host.nested_calls().note(m_hop.route, caller == nullptr ? std::string() : *caller,
-                               m_received);
+    m_host.nested_calls().record(m_hop.route, caller == nullptr ? std::string() : *caller,
+                                 m_received);
     const routing_table &routing = m_host.agent().lease().routes();
     m_parent_priority = m_host.nested_calls().parent_priority(m_hop.route, routing);
     m_priority = m_parent_priority && m_hop.expendable ? *m_parent_priority + 1 : m_hop.priority;
@@ -347,7 +347,7 @@
         m_host.agent().run_answered(m_hop.fingerprint, m_life, now);
     }
     if (!m_parent_priority) {
-        m_host.dependencies().note_run(m_started, m_status < first_failure_status, now);
+        m_host.dependencies().record_run(m_started, m_status < first_failure_status, now);
     }
     leave_queue(m_not_executed ? std::nullopt : std::optional(now - m_started));
     m_phase = phase::done;
--- a/tests/coordination/dependency_admission_test.cpp
+++ b/tests/coordination/dependency_admission_test.cpp
@@ -144,7 +144,7 @@
     }
     void try_booking(int tries, instant objective) {
         const admission_class kind{"booking", objective <= m_time.now()};
-        m_meter.note_offered(kind, m_time.now());
+        m_meter.record_offered(kind, m_time.now());
         m_aggregator.record(kind, 1, m_meter.share(kind, m_time.now()), m_time.now());
         m_desk.offer({.item = item("booking", false, 1, objective),
                       .begin =
@@ -156,7 +156,7 @@
                           },
                       .rejected =
                           [this, kind, tries, objective] {
-                              m_meter.note_rejected(kind, m_time.now());
+                              m_meter.record_rejected(kind, m_time.now());
                               retry_later(tries, 400ms, [this, objective](int next) {
                                   try_booking(next, objective);
                               });
@@ -192,7 +192,7 @@
     void end_lookup(instant began, instant objective, bool good,
                     const std::function<void()> &again) {
         const instant now = m_time.now();
-        m_dependencies.note_run(began, good, now);
+        m_dependencies.record_run(began, good, now);
         of["lookup"].in_time += good && now <= objective ? 1 : 0;
         of["lookup"].wasted += good ? 0 : 1;
         if (!good) {
@@ -211,7 +211,7 @@
                       .begin =
                           [this, calls, done] {
                               m_time.at(m_time.now() + call_work, [this, calls, done] {
-                                  m_dependencies.note_taken(
+                                  m_dependencies.record_accepted(
                                       "call", m_aggregator.level(2, m_time.now()), m_time.now());
                                   m_desk.end("call", call_work);
                                   call(calls - 1, done);
@@ -219,7 +219,7 @@
                           },
                       .rejected =
                           [this, done] {
-                              m_dependencies.note_rejected(
+                              m_dependencies.record_rejected(
                                   "call", m_aggregator.level(2, m_time.now()), m_time.now());
                               done(false);
                           }});
@@ -294,30 +294,30 @@
     CHECK(admission.admits(false, 0.99, start));
     instant now = start;
     for (int i = 0; i < 400; ++i, now += 5ms) {
-        i % 2 == 0 ? admission.note_rejected("call", admission_level{}, now)
-                   : admission.note_taken("call", {}, now);
+        i % 2 == 0 ? admission.record_rejected("call", admission_level{}, now)
+                   : admission.record_accepted("call", {}, now);
     }
     CHECK(admission.level(now).fresh <= 0.2);
     CHECK(admission.level(now).fresh > 0);
     for (int i = 0; i < 1000; ++i, now += 5ms) {
-        admission.note_taken("call", {}, now);
+        admission.record_accepted("call", {}, now);
     }
     CHECK(admission.level(now).fresh == 1);
 }
 
 TEST_CASE("a rejected request on a route without nested calls does not lower the admitted share") {
     dependency_admission admission;
-    admission.note_rejected("booking", std::nullopt, start);
+    admission.record_rejected("booking", std::nullopt, start);
     CHECK(admission.level(start).fresh == 1);
 }
 
 TEST_CASE("a level that is no longer reported expires") {
     dependency_admission admission;
     for (int i = 0; i < 100; ++i) {
-        admission.note_taken("call", {.fresh = 0.3, .expired = 0}, start);
+        admission.record_accepted("call", {.fresh = 0.3, .expired = 0}, start);
     }
     CHECK(admission.level(start).fresh < 0.35);
-    admission.note_taken("other-call", {.fresh = 0.9, .expired = 1}, start);
+    admission.record_accepted("other-call", {.fresh = 0.9, .expired = 1}, start);
     CHECK(admission.limiting_route(start) == "call");
     CHECK(admission.limiting_route(start + 3s).empty());
     CHECK(admission.level(start + 3s) == admission_level{});
@@ -330,7 +330,7 @@
     instant now = start;
     for (int i = 0; i < 2000; ++i, now += 100ms) {
         const admission_class request{"r-" + std::to_string(i), false};
-        meter.note_offered(request, now);
+        meter.record_offered(request, now);
         aggregator.record(request, 1, 1, now);
     }
     CHECK(meter.size() <= 100);
@@ -341,9 +341,9 @@
     admission_meter meter;
     const admission_class fresh{"booking", false};
     for (int i = 0; i < 20; ++i) {
-        meter.note_offered(fresh, start);
+        meter.record_offered(fresh, start);
         if (i % 4 == 0) {
-            meter.note_rejected(fresh, start);
+            meter.record_rejected(fresh, start);
         }
     }
     CHECK(meter.share(fresh, start) == doctest::Approx(0.75));
--- a/tests/coordination/nested_call_detector_test.cpp
+++ b/tests/coordination/nested_call_detector_test.cpp
@@ -27,8 +27,12 @@
 /// Records the requests that a node beside a target of the payout service receives in a second.
 void record_second_at_payout(nested_call_detector &detector, instant now) {
     for (int i = 0; i < 30; ++i) {
-        detector.note("disbursement", i % 3 == 0 ? "portal" : i % 3 == 1 ? "desk" : "payout", now);
-        detector.note("logbook-check", "desk", now);
+        detector.record("disbursement",
+                        i % 3 == 0   ? "portal"
+                        : i % 3 == 1 ? "desk"
+                                     : "payout",
+                        now);
+        detector.record("logbook-check", "desk", now);
     }
 }
 
@@ -37,8 +41,8 @@
 void record_requests(nested_call_detector &detector, const std::string &direct,
                      const std::string &other, const std::string &caller, bool strays) {
     for (int i = 0; i < 30; ++i) {
-        detector.note(direct, i % 2 == 0 ? "portal" : "desk", start);
-        detector.note(other, strays && i % 10 == 0 ? "payout" : caller, start);
+        detector.record(direct, i % 2 == 0 ? "portal" : "desk", start);
+        detector.record(other, strays && i % 10 == 0 ? "payout" : caller, start);
     }
 }
 
@@ -73,8 +77,8 @@
 TEST_CASE("nested calls can't be distinguished where only one service sends requests") {
     nested_call_detector detector;
     for (int i = 0; i < 300; ++i) {
-        detector.note("disbursement", "desk", start);
-        detector.note("logbook-check", "desk", start);
+        detector.record("disbursement", "desk", start);
+        detector.record("logbook-check", "desk", start);
     }
     CHECK_FALSE(detector.calling_service("logbook-check"));
     CHECK_FALSE(detector.calling_service("disbursement"));
@@ -89,8 +93,8 @@
     REQUIRE(detector.calling_service("logbook-check"));
     for (int i = 0; i < 3; ++i, now += 1s) {
         record_second_at_payout(detector, now);
-        detector.note("logbook-check", "portal", now);
-        detector.note("logbook-check", "payout", now);
+        detector.record("logbook-check", "portal", now);
+        detector.record("logbook-check", "payout", now);
     }
     CHECK_FALSE(detector.calling_service("logbook-check"));
     for (int i = 0; i < 60; ++i, now += 1s) {
