--- a/include/peppertack/coordination/target_selector.hpp
+++ b/include/peppertack/coordination/target_selector.hpp
@@ -28,7 +28,7 @@
 };
 
 /// Outcome of a call to a target, as far as it concerns the target's health.
-enum class call_end : std::uint8_t {
+enum class call_outcome : std::uint8_t {
     served,      ///< the target or its node worked as expected
     failed,      ///< the target or its node failed
     unreachable, ///< no connection could be established, so other calls would fail too
@@ -46,17 +46,17 @@
     struct options {
         /// Older reports are ignored: the requests they counted have mostly completed.
         duration report_lifetime = std::chrono::seconds(1);
-        unsigned int failures_until_ejected = 3; ///< consecutive
-        duration ejected_for =
+        unsigned int ejection_threshold = 3; ///< consecutive
+        duration base_ejection_time =
             std::chrono::milliseconds(700); ///< doubles with each consecutive ejection
-        duration longest_ejection = std::chrono::seconds(6);
+        duration max_ejection_time = std::chrono::seconds(6);
         duration prior_service_time = std::chrono::milliseconds(100);
         std::uint32_t prior_limit = 8;
         std::string failure_domain; ///< of this node
         node_address self;          ///< of this node
         /// Cost factor of targets in other failure domains, since traffic to them crosses a shared
         /// and paid link. Small compared to queueing delay, so that load still balances.
-        double distance_factor = 1.15;
+        double remote_cost_factor = 1.15;
         bool two_choices = true;    ///< off: the first target drawn is chosen
         bool times_by_route = true; ///< off: estimates use the mean time of all requests
         bool near_choice = true;    ///< always consider a target in this failure domain
@@ -77,18 +77,18 @@
                          const request_shape &shape, const std::set<target_number> &tried,
                          instant now);
     /// Records a call sent to a target.
-    void sent(target_number number);
+    void record_sent(target_number number);
     /// Records the end of a call. An unreachable target is ejected immediately: when a third of the
     /// targets went down together, each node otherwise lost three requests per target.
-    void ended(target_number number, call_end how, instant now);
+    void record_outcome(target_number number, call_outcome result, instant now);
     /// Records the load reported with an answer; `route` is that of the answered request.
-    void note(target_number number, const target_load &load, instant now,
-              const std::string &route = {});
+    void record_load(target_number number, const target_load &load, instant now,
+                     const std::string &route = {});
     /// Estimated time until an answer to a request on `route`.
     duration estimate(target_number number, const std::string &route, instant now) const;
     bool ejected(target_number number, instant now) const;
     /// Removes targets that are not in `known`, once no calls to them are outstanding.
-    void keep_only(const std::unordered_map<target_number, target_route> &known);
+    void retain(const std::unordered_map<target_number, target_route> &known);
 
 private:
     struct state {
@@ -110,7 +110,7 @@
                                                 const std::string &route);
     double cost(const candidate &item, const request_shape &shape, instant now) const;
 
-    duration usual_time(const state *known, const std::string &route) const;
+    duration expected_service_time(const state *known, const std::string &route) const;
     double capacity(const state *known, const std::string &route) const;
 
     options m_options;
--- a/src/coordination/target_selector.cpp
+++ b/src/coordination/target_selector.cpp
@@ -14,7 +14,8 @@
 
 /// Uses the time of the route if known: by its mean time a target with mostly short requests would
 /// look fast and receive more requests of all kinds than one whose requests are long.
-duration target_selector::usual_time(const state *known, const std::string &route) const {
+duration target_selector::expected_service_time(const state *known,
+                                                const std::string &route) const {
     if (known == nullptr) {
         return m_options.prior_service_time;
     }
@@ -30,7 +31,7 @@
 double target_selector::capacity(const state *known, const std::string &route) const {
     const bool reported = known != nullptr && known->load.limit > 0;
     const double limit = reported ? known->load.limit : m_options.prior_limit;
-    return limit / static_cast<double>(usual_time(known, route).count());
+    return limit / static_cast<double>(expected_service_time(known, route).count());
 }
 
 duration target_selector::estimate(target_number number, const std::string &route,
@@ -40,7 +41,7 @@
     const state &known = found == m_targets.end() ? none : found->second;
     const bool fresh = known.load.limit > 0 && known.reported + m_options.report_lifetime > now;
     const std::uint32_t limit = known.load.limit > 0 ? known.load.limit : m_options.prior_limit;
-    const duration time = usual_time(&known, route);
+    const duration time = expected_service_time(&known, route);
     const duration mean = known.load.service_time > duration{} ? known.load.service_time : time;
     std::uint32_t busy = known.outstanding;
     duration backlog{};
@@ -133,14 +134,14 @@
         time += found->second.load.body_wait;
     }
     const auto count = static_cast<double>(time.count());
-    return item.near ? count : count * m_options.distance_factor;
+    return item.near ? count : count * m_options.remote_cost_factor;
 }
 
-void target_selector::sent(target_number number) {
+void target_selector::record_sent(target_number number) {
     ++m_targets[number].outstanding;
 }
 
-void target_selector::ended(target_number number, call_end how, instant now) {
+void target_selector::record_outcome(target_number number, call_outcome result, instant now) {
     const auto found = m_targets.find(number);
     if (found == m_targets.end()) {
         return;
@@ -148,23 +149,23 @@
     state &known = found->second;
     known.outstanding -= known.outstanding > 0 ? 1 : 0;
     known.at_report -= known.at_report > 0 ? 1 : 0;
-    if (how == call_end::served) {
+    if (result == call_outcome::served) {
         known.failures = 0;
         known.ejections = 0;
         known.ejected_until = {};
         return;
     }
-    if (++known.failures < m_options.failures_until_ejected && how != call_end::unreachable) {
+    if (++known.failures < m_options.ejection_threshold && result != call_outcome::unreachable) {
         return;
     }
-    const duration pause = m_options.ejected_for * (1U << std::min(known.ejections, 4U));
-    known.ejected_until = now + std::min(pause, m_options.longest_ejection);
+    const duration pause = m_options.base_ejection_time * (1U << std::min(known.ejections, 4U));
+    known.ejected_until = now + std::min(pause, m_options.max_ejection_time);
     ++known.ejections;
-    known.failures = m_options.failures_until_ejected - 1; // the next failure ejects it again
+    known.failures = m_options.ejection_threshold - 1; // the next failure ejects it again
 }
 
-void target_selector::note(target_number number, const target_load &load, instant now,
-                           const std::string &route) {
+void target_selector::record_load(target_number number, const target_load &load, instant now,
+                                  const std::string &route) {
     state &known = m_targets[number];
     known.load = load;
     if (load.route_time > duration{}) {
@@ -177,7 +178,7 @@
     known.at_report = known.outstanding;
 }
 
-void target_selector::keep_only(const std::unordered_map<target_number, target_route> &known) {
+void target_selector::retain(const std::unordered_map<target_number, target_route> &known) {
     std::erase_if(m_targets, [&](const auto &item) {
         return known.count(item.first) == 0 && item.second.outstanding == 0;
     });
--- a/src/transport/traffic/entry_relay.cpp
+++ b/src/transport/traffic/entry_relay.cpp
@@ -277,7 +277,7 @@
     m_sent = now;
     m_hop_known = false;
     m_answer_body.clear();
-    m_host.selector().sent(m_target);
+    m_host.selector().record_sent(m_target);
     m_call = m_host.pool().start(m_host.forward_address(target.address), head, weak_from_this());
     m_body.attach(m_call, announced);
 }
@@ -317,7 +317,7 @@
             m_caller->abort();
             done();
         } else if (m_call) {
-            m_host.selector().ended(m_target, call_end::failed, now);
+            m_host.selector().record_outcome(m_target, call_outcome::failed, now);
             refuse(error_kind::deadline_after_target, outcome::unknown, {});
         } else {
             refuse(error_kind::deadline_before_target, outcome::not_run, usual_retry_after);
@@ -348,7 +348,7 @@
     m_hop_known = told.has_value();
     m_hop = told.value_or(hop_reply{});
     if (m_hop_known) {
-        m_host.selector().note(m_target, m_hop.load, now, m_route.name);
+        m_host.selector().record_load(m_target, m_hop.load, now, m_route.name);
     }
     if (m_hop.level && m_hop.refused == error_kind::none) {
         m_host.dependencies().record_accepted(m_route.name, *m_hop.level, now);
@@ -397,7 +397,7 @@
     m_body.detach();
     m_call.reset();
     if (!m_hop_known) {
-        m_host.selector().ended(m_target, call_end::failed, now);
+        m_host.selector().record_outcome(m_target, call_outcome::failed, now);
         after_unknown(error_kind::target_lost, now);
     } else if (m_hop.refused != error_kind::none) {
         // A full target does its part; one that is gone does not.
@@ -407,14 +407,16 @@
                           m_hop.refused == error_kind::owner_unreachable ||
                           m_hop.refused == error_kind::not_ready ||
                           m_hop.refused == error_kind::not_owner;
-        m_host.selector().ended(m_target, gone ? call_end::unreachable : call_end::served, now);
+        m_host.selector().record_outcome(
+            m_target, gone ? call_outcome::unreachable : call_outcome::served, now);
         after_not_run(m_hop.refused, m_hop.retry_after, now);
     } else if (m_hop.may_have_run) {
-        m_host.selector().ended(m_target, call_end::failed, now);
+        m_host.selector().record_outcome(m_target, call_outcome::failed, now);
         after_unknown(error_kind::target_lost, now);
     } else {
         const bool failed = m_answer.status >= first_failure_status;
-        m_host.selector().ended(m_target, failed ? call_end::failed : call_end::served, now);
+        m_host.selector().record_outcome(m_target,
+                                         failed ? call_outcome::failed : call_outcome::served, now);
         ++m_arrivals;
         if (!retry_executed_nowhere(now)) {
             pass_on();
@@ -467,7 +469,8 @@
     m_body.detach();
     m_call.reset();
     const bool connected = why != call_failure::not_connected && why != call_failure::refused;
-    m_host.selector().ended(m_target, connected ? call_end::failed : call_end::unreachable, now);
+    m_host.selector().record_outcome(
+        m_target, connected ? call_outcome::failed : call_outcome::unreachable, now);
     m_host.log().note("attempt_failed",
                       {{"request", m_id},
                        {"target", m_target_name},
--- a/src/transport/traffic/traffic_host.cpp
+++ b/src/transport/traffic/traffic_host.cpp
@@ -150,7 +150,7 @@
 void traffic_host::wake_all(instant now) {
     m_changed = false;
     apply_limits();
-    m_selector.keep_only(m_agent.lease().map().targets());
+    m_selector.retain(m_agent.lease().map().targets());
     for (auto &[service, budget] : m_retries) {
         budget.all.set_most(saved_retries_now());
     }
--- a/tests/coordination/target_selector_test.cpp
+++ b/tests/coordination/target_selector_test.cpp
@@ -30,10 +30,10 @@
 
 TEST_CASE("the target with the earliest completion is chosen more often, the fullest never") {
     three_targets world;
-    world.selector.note(1, {.in_flight = 2, .limit = 18, .service_time = 100ms}, start);
-    world.selector.note(2, {.in_flight = 9, .limit = 18, .service_time = 100ms}, start);
-    world.selector.note(3, {.in_flight = 18, .waiting = 20, .limit = 18, .service_time = 100ms},
-                        start);
+    world.selector.record_load(1, {.in_flight = 2, .limit = 18, .service_time = 100ms}, start);
+    world.selector.record_load(2, {.in_flight = 9, .limit = 18, .service_time = 100ms}, start);
+    world.selector.record_load(
+        3, {.in_flight = 18, .waiting = 20, .limit = 18, .service_time = 100ms}, start);
     const auto counts = world.choose(900, start);
     CHECK(counts.at(1) > counts.at(2));
     CHECK(counts.count(3) == 0);
@@ -41,9 +41,9 @@
 
 TEST_CASE("a target that is three times as fast gets most of the requests") {
     three_targets world;
-    world.selector.note(1, {.limit = 18, .service_time = 100ms}, start);
-    world.selector.note(2, {.limit = 18, .service_time = 300ms}, start);
-    world.selector.note(3, {.limit = 18, .service_time = 300ms}, start);
+    world.selector.record_load(1, {.limit = 18, .service_time = 100ms}, start);
+    world.selector.record_load(2, {.limit = 18, .service_time = 300ms}, start);
+    world.selector.record_load(3, {.limit = 18, .service_time = 300ms}, start);
     const auto counts = world.choose(900, start);
     CHECK(counts.at(1) > 450);
 }
@@ -52,8 +52,8 @@
     three_targets world;
     const auto fail = [&](target_number number) {
         for (int i = 0; i < 3; ++i) {
-            world.selector.sent(number);
-            world.selector.ended(number, call_end::failed, start);
+            world.selector.record_sent(number);
+            world.selector.record_outcome(number, call_outcome::failed, start);
         }
     };
     fail(2);
@@ -64,8 +64,8 @@
     fail(3);
     const auto counts = world.choose(300, start);
     CHECK(counts.count(no_target) == 0);
-    world.selector.sent(2);
-    world.selector.ended(2, call_end::served, start);
+    world.selector.record_sent(2);
+    world.selector.record_outcome(2, call_outcome::served, start);
     CHECK_FALSE(world.selector.ejected(2, start));
 }
 
@@ -82,9 +82,9 @@
     // while the links of others are idle, if only the requests waiting for the targets are
     // considered.
     three_targets world;
-    world.selector.note(1, {.limit = 18, .service_time = 100ms, .body_wait = 900ms}, start);
-    world.selector.note(2, {.limit = 18, .service_time = 100ms, .body_wait = 50ms}, start);
-    world.selector.note(3, {.limit = 18, .service_time = 100ms, .body_wait = 900ms}, start);
+    world.selector.record_load(1, {.limit = 18, .service_time = 100ms, .body_wait = 900ms}, start);
+    world.selector.record_load(2, {.limit = 18, .service_time = 100ms, .body_wait = 50ms}, start);
+    world.selector.record_load(3, {.limit = 18, .service_time = 100ms, .body_wait = 900ms}, start);
     CHECK(world.choose(900, start).at(2) < 450);
     world.shape.large_body = true;
     CHECK(world.choose(900, start).at(2) > 550); // whenever it is drawn
@@ -96,9 +96,9 @@
     const auto report_load = [&](target_number number, duration mean, duration backlog) {
         target_load load{.in_flight = 18, .limit = 18, .service_time = mean, .backlog = backlog};
         load.route_time = 150ms;
-        world.selector.note(number, load, start, "booking");
+        world.selector.record_load(number, load, start, "booking");
         load.route_time = 22ms;
-        world.selector.note(number, load, start, "call");
+        world.selector.record_load(number, load, start, "call");
     };
     report_load(1, 40ms, 90ms); // many calls, and a queue of bookings
     report_load(2, 150ms, 0ms);
@@ -117,7 +117,7 @@
         target_route &route = routes[number - 1];
         route.number = number;
         route.failure_domain = number <= 4 ? "a" : "b";
-        selector.note(number, {.in_flight = 9, .limit = 18, .service_time = 100ms}, start);
+        selector.record_load(number, {.in_flight = 9, .limit = 18, .service_time = 100ms}, start);
         list.push_back(&route);
     }
     int same_domain = 0;
@@ -126,8 +126,8 @@
     }
     CHECK(same_domain == 300);
     for (target_number number = 1; number <= 4; ++number) {
-        selector.note(number, {.in_flight = 18, .waiting = 9, .limit = 18, .service_time = 100ms},
-                      start);
+        selector.record_load(
+            number, {.in_flight = 18, .waiting = 9, .limit = 18, .service_time = 100ms}, start);
     }
     CHECK(selector.choose(list, {}, {}, start) > 4);
 }
@@ -136,14 +136,14 @@
     three_targets world;
     world.routes[2].address = "own";
     for (const target_number number : {1U, 2U, 3U}) {
-        world.selector.note(
+        world.selector.record_load(
             number, {.in_flight = 9, .limit = 18, .service_time = 100ms, .body_wait = 500ms},
             start);
     }
     world.shape.large_body = true;
     CHECK(world.choose(300, start).at(3) == 300);
-    world.selector.note(3, {.in_flight = 18, .waiting = 90, .limit = 18, .service_time = 100ms},
-                        start);
+    world.selector.record_load(
+        3, {.in_flight = 18, .waiting = 90, .limit = 18, .service_time = 100ms}, start);
     CHECK(world.choose(300, start).count(3) == 0);
 }
 
@@ -152,11 +152,11 @@
     // service's targets went down with their nodes, every node tried each of them three times, each
     // attempt took a full call time-out, and an eighth of the calls failed for four seconds.
     three_targets world;
-    world.selector.sent(2);
-    world.selector.ended(2, call_end::unreachable, start);
+    world.selector.record_sent(2);
+    world.selector.record_outcome(2, call_outcome::unreachable, start);
     CHECK(world.selector.ejected(2, start));
     CHECK(world.choose(300, start).count(2) == 0);
-    world.selector.sent(1);
-    world.selector.ended(1, call_end::failed, start);
+    world.selector.record_sent(1);
+    world.selector.record_outcome(1, call_outcome::failed, start);
     CHECK_FALSE(world.selector.ejected(1, start));
 }
