--- a/include/peppertack/coordination/work_queue.hpp
+++ b/include/peppertack/coordination/work_queue.hpp
@@ -24,14 +24,14 @@
 public:
     struct options {
         std::uint32_t limit = 16; ///< requests in flight; the target's number of slots
-        std::size_t most_waiting = 512;
+        std::size_t max_waiting = 512;
         /// A request may wait this long whatever its objective, since the caller of a refused one
         /// retries no sooner. This matters most for short nested calls: each refusal wastes the
         /// work of the parent request.
-        duration usual_return = std::chrono::milliseconds(300);
+        duration expected_retry_delay = std::chrono::milliseconds(300);
         /// A queue that has not been shorter than a fraction of the slots for this long is a
         /// standing queue: it adds latency without adding throughput.
-        duration standing_after = std::chrono::milliseconds(300);
+        duration standing_queue_time = std::chrono::milliseconds(300);
         bool drain_standing = true; ///< standing queues are shortened
         bool nested_first = true;   ///< nested calls go before all other requests
         bool equal_shares = true;   ///< within a priority, kinds that were refused more go first
@@ -61,7 +61,7 @@
     /// Capacity in requests per second, from the mean service time and the announced rate limit.
     double capacity() const;
     /// Whether `offer` would start or queue the request now.
-    bool would_take(const item &request, instant now) const;
+    bool would_accept(const item &request, instant now) const;
     /// A verdict of `start` counts the request as in flight.
     verdict offer(const item &request, instant now);
     /// Returns the next request to start, if there is capacity, and counts it as in flight.
@@ -81,7 +81,7 @@
     /// Average service time of requests of `kind`; the overall mean if none has completed.
     duration service_time(const std::string &kind) const;
     /// Average service time of requests of `kind`; none if none has completed.
-    std::optional<duration> known_time(const std::string &kind) const;
+    std::optional<duration> measured_service_time(const std::string &kind) const;
     /// Time to drain the requests that wait now.
     duration backlog() const;
     duration mean_service_time() const { return m_mean; }
@@ -100,16 +100,16 @@
     bool in_time(const item &request, instant now) const;
     auto rank(const item &request, instant now) const;
 
-    void watch_length(instant now);
-    double taken_before(const item &request, instant now) const;
+    void update_wait_share(instant now);
+    double load_before(const item &request, instant now) const;
 
     options m_options;
     rate_limit m_rate;
     service_share_tracker m_service_shares;
     std::uint32_t m_in_flight = 0;
     std::uint64_t m_finished = 0;
-    std::vector<item> m_waiting;     ///< in order of arrival
-    std::size_t m_least_waiting = 0; ///< since the current interval began
+    std::vector<item> m_waiting;   ///< in order of arrival
+    std::size_t m_min_waiting = 0; ///< since the current interval began
     instant m_interval_end{};
     double m_wait_share = 1; ///< fraction of its slack that a request may wait
     std::unordered_map<std::string, duration> m_by_kind;
--- a/src/coordination/work_queue.cpp
+++ b/src/coordination/work_queue.cpp
@@ -14,7 +14,7 @@
 constexpr int smoothing = 16;
 /// A part of the target is always assumed free for the least urgent requests, since more urgent
 /// load may end at any time.
-constexpr double max_taken_before = 0.95;
+constexpr double max_load_before = 0.95;
 /// A standing queue is shortened to this fraction of the slots, which keeps them busy.
 constexpr double target_queue_share = 0.3;
 constexpr double wait_share_decrease = 0.85; ///< factor per interval with a standing queue
@@ -37,7 +37,7 @@
     return found == m_by_kind.end() ? m_mean : found->second;
 }
 
-std::optional<duration> work_queue::known_time(const std::string &kind) const {
+std::optional<duration> work_queue::measured_service_time(const std::string &kind) const {
     const auto found = m_by_kind.find(kind);
     return found == m_by_kind.end() ? std::nullopt : std::optional(found->second);
 }
@@ -74,7 +74,7 @@
 
 /// Latest time at which an answer is still useful.
 instant work_queue::useful_until(const item &request) const {
-    const instant min_wait_end = request.arrived + m_options.usual_return;
+    const instant min_wait_end = request.arrived + m_options.expected_retry_delay;
     return std::min(std::max(request.objective, min_wait_end), request.deadline);
 }
 
@@ -92,10 +92,10 @@
 }
 
 /// Fraction of the target that requests ranked before this one recently used; assumed to persist.
-double work_queue::taken_before(const item &request, instant now) const {
+double work_queue::load_before(const item &request, instant now) const {
     const double slots =
         m_service_shares.slots_before(kind_of(request, m_options.nested_first), now);
-    return std::min(slots / m_options.limit, max_taken_before);
+    return std::min(slots / m_options.limit, max_load_before);
 }
 
 duration work_queue::expected_wait(const item &request, instant now) const {
@@ -122,11 +122,11 @@
     // More urgent requests that arrive later go first too: a request that is admitted on the
     // assumption of the whole target is overtaken repeatedly, and refused only after half of its
     // objective.
-    const double share = (1 - taken_before(request, now)) * m_options.limit;
+    const double share = (1 - load_before(request, now)) * m_options.limit;
     return duration(static_cast<duration::rep>(static_cast<double>(ahead.count()) / share));
 }
 
-bool work_queue::would_take(const item &request, instant now) const {
+bool work_queue::would_accept(const item &request, instant now) const {
     if (has_room(now)) {
         return now < request.deadline;
     }
@@ -134,29 +134,28 @@
     const duration slack = useful_until(request) - now - service_time(request.kind);
     const double share = request.nested && m_options.nested_first ? 1 : m_wait_share;
     const auto longest = static_cast<double>(slack.count()) * share;
-    return m_waiting.size() < m_options.most_waiting &&
+    return m_waiting.size() < m_options.max_waiting &&
            static_cast<double>(expected_wait(request, now).count()) <= longest;
 }
 
 /// Shortens a standing queue. Under overload the queue grows to the longest wait that the objective
 /// allows, so that without this all requests would finish just before their objective or just
 /// after.
-void work_queue::watch_length(instant now) {
-    m_least_waiting = std::min(m_least_waiting, m_waiting.size());
+void work_queue::update_wait_share(instant now) {
+    m_min_waiting = std::min(m_min_waiting, m_waiting.size());
     if (!m_options.drain_standing || now < m_interval_end) {
         return;
     }
-    const bool standing =
-        static_cast<double>(m_least_waiting) > target_queue_share * usable_slots();
+    const bool standing = static_cast<double>(m_min_waiting) > target_queue_share * usable_slots();
     m_wait_share = standing ? std::max(m_wait_share * wait_share_decrease, min_wait_share)
                             : std::min(m_wait_share + wait_share_increase, 1.0);
-    m_interval_end = now + m_options.standing_after;
-    m_least_waiting = m_waiting.size();
+    m_interval_end = now + m_options.standing_queue_time;
+    m_min_waiting = m_waiting.size();
 }
 
 work_queue::verdict work_queue::offer(const item &request, instant now) {
     m_service_shares.record_offered(kind_of(request, m_options.nested_first), now);
-    if (!would_take(request, now)) {
+    if (!would_accept(request, now)) {
         m_service_shares.record_refused(kind_of(request, m_options.nested_first), now);
         return verdict::refuse;
     }
@@ -182,7 +181,7 @@
         }
         return over;
     });
-    watch_length(now);
+    update_wait_share(now);
     if (m_waiting.empty() || m_in_flight >= m_options.limit || !m_rate.ready(now)) {
         return std::nullopt;
     }
@@ -192,7 +191,7 @@
     }
     const std::uint64_t id = best->id;
     m_waiting.erase(best);
-    m_least_waiting = std::min(m_least_waiting, m_waiting.size());
+    m_min_waiting = std::min(m_min_waiting, m_waiting.size());
     ++m_in_flight;
     m_rate.take(now);
     return id;
--- a/src/transport/traffic/target_relay.cpp
+++ b/src/transport/traffic/target_relay.cpp
@@ -133,7 +133,7 @@
         refuse(error_kind::dependency_overloaded, now, queue.retry_after());
         return;
     }
-    if (!queue.would_take(item(), now)) {
+    if (!queue.would_accept(item(), now)) {
         refuse(error_kind::overloaded, now, queue.retry_after());
         return;
     }
--- a/src/transport/traffic/traffic_host.cpp
+++ b/src/transport/traffic/traffic_host.cpp
@@ -281,7 +281,7 @@
 
 target_load traffic_host::load(const std::string &route) const {
     target_load result = m_agent.load();
-    result.route_time = m_agent.queue().known_time(route).value_or(duration{});
+    result.route_time = m_agent.queue().measured_service_time(route).value_or(duration{});
     result.body_wait = m_body_turns.retry_after();
     return result;
 }
--- a/tests/coordination/work_queue_test.cpp
+++ b/tests/coordination/work_queue_test.cpp
@@ -240,12 +240,12 @@
 
 TEST_CASE("a request can be checked for admission without being admitted") {
     work_queue queue({.limit = 1});
-    CHECK(queue.would_take(item(1), start));
-    CHECK_FALSE(queue.would_take(item(1), start + 2s));
+    CHECK(queue.would_accept(item(1), start));
+    CHECK_FALSE(queue.would_accept(item(1), start + 2s));
     CHECK(queue.in_flight() == 0);
     CHECK(queue.offer(item(1), start) == work_queue::verdict::start);
-    CHECK(queue.would_take(item(2), start));
-    CHECK_FALSE(queue.would_take(item(2), start + 480ms));
+    CHECK(queue.would_accept(item(2), start));
+    CHECK_FALSE(queue.would_accept(item(2), start + 480ms));
     CHECK(queue.waiting() == 0);
 }
 
