--- a/include/peppertack/coordination/retry_budget.hpp
+++ b/include/peppertack/coordination/retry_budget.hpp
@@ -6,11 +6,11 @@
 namespace peppertack {
 
 /// Retries that each of `nodes` may accumulate: an equal part of the fleet's `slack`, clamped to
-/// the range from 1 to `most`, so that the fleet's burst of retries does not grow with the number
-/// of nodes.
-inline double saved_retries(double slack, std::size_t nodes, double most) {
+/// the range from 1 to `max_tokens`, so that the fleet's burst of retries does not grow with the
+/// number of nodes.
+inline double retry_burst_per_node(double slack, std::size_t nodes, double max_tokens) {
     const double part = slack / static_cast<double>(std::max<std::size_t>(nodes, 1));
-    return std::clamp(part, 1.0, most);
+    return std::clamp(part, 1.0, max_tokens);
 }
 
 /// Token bucket that bounds retries to a share of the requests, so that retries don't add to the
@@ -18,14 +18,14 @@
 class retry_budget {
 public:
     struct options {
-        double share = 0.1; ///< tokens added per request
-        double most = 20;   ///< maximum number of tokens
+        double share = 0.1;     ///< tokens added per request
+        double max_tokens = 20; ///< maximum number of tokens
     };
 
-    explicit retry_budget(options settings) : m_options(settings), m_tokens(settings.most) {}
+    explicit retry_budget(options settings) : m_options(settings), m_tokens(settings.max_tokens) {}
     retry_budget() : retry_budget(options{}) {}
 
-    void note_request() { m_tokens = std::min(m_options.most, m_tokens + m_options.share); }
+    void note_request() { m_tokens = std::min(m_options.max_tokens, m_tokens + m_options.share); }
     /// Takes a token for one retry. Returns false if none is left.
     bool take() {
         if (m_tokens < 1) {
@@ -36,9 +36,9 @@
     }
     double tokens() const { return m_tokens; }
     /// Sets the maximum number of tokens and discards those above it.
-    void set_most(double most) {
-        m_options.most = most;
-        m_tokens = std::min(m_tokens, most);
+    void set_max_tokens(double max_tokens) {
+        m_options.max_tokens = max_tokens;
+        m_tokens = std::min(m_tokens, max_tokens);
     }
 
 private:
--- a/include/peppertack/transport/traffic/traffic_options.hpp
+++ b/include/peppertack/transport/traffic/traffic_options.hpp
@@ -53,11 +53,11 @@
     /// Requests sent to a second target, as a share of this node's requests to a service and a few
     /// more. All nodes' shares together must stay below what the targets are promised:
     /// `retry_slack` besides the share, for all nodes.
-    retry_budget::options retries{.share = 0.16, .most = 3};
+    retry_budget::options retries{.share = 0.16, .max_tokens = 3};
     double retry_slack = 48;
     /// Of these, the part for requests that may have run: each of their runs calls other targets
     /// again.
-    retry_budget::options reruns{.share = 0.05, .most = 2};
+    retry_budget::options reruns{.share = 0.05, .max_tokens = 2};
     duration heartbeat_interval = std::chrono::seconds(1);      ///< of targets
     duration stop_acceptance = std::chrono::milliseconds(1800); ///< work is still taken for so long
     /// From then on new requests of callers are refused, so that those taken are finished before
--- a/src/transport/traffic/traffic_host.cpp
+++ b/src/transport/traffic/traffic_host.cpp
@@ -117,14 +117,14 @@
 
 traffic_host::service_retries &traffic_host::retries_of(const std::string &service) {
     retry_budget::options all = m_options.retries;
-    all.most = saved_retries_now();
+    all.max_tokens = saved_retries_now();
     const service_retries fresh{retry_budget(all), retry_budget(m_options.reruns)};
     return m_retries.try_emplace(service, fresh).first->second;
 }
 
 double traffic_host::saved_retries_now() const {
-    return saved_retries(m_options.retry_slack, m_agent.lease().map().targets().size(),
-                         m_options.retries.most);
+    return retry_burst_per_node(m_options.retry_slack, m_agent.lease().map().targets().size(),
+                                m_options.retries.max_tokens);
 }
 
 void traffic_host::note_request(const std::string &service) {
@@ -152,7 +152,7 @@
     apply_limits();
     m_selector.retain(m_agent.lease().map().targets());
     for (auto &[service, budget] : m_retries) {
-        budget.all.set_most(saved_retries_now());
+        budget.all.set_max_tokens(saved_retries_now());
     }
     const std::vector<timed_request *> all(m_requests.begin(), m_requests.end());
     for (timed_request *request : all) {
--- a/tests/coordination/parts_test.cpp
+++ b/tests/coordination/parts_test.cpp
@@ -151,7 +151,7 @@
 }
 
 TEST_CASE("the retry budget is a tenth of the requests") {
-    retry_budget budget({.share = 0.1, .most = 2});
+    retry_budget budget({.share = 0.1, .max_tokens = 2});
     CHECK(budget.take());
     CHECK(budget.take());
     CHECK_FALSE(budget.take());
@@ -245,13 +245,13 @@
 TEST_CASE("what nodes save up of retries adds up to less than the whole, however many they are") {
     for (const std::size_t nodes : {1U, 12U, 80U, 300U}) {
         const double slack = 2.5 * 300;
-        const double each = saved_retries(slack, nodes, 3);
+        const double each = retry_burst_per_node(slack, nodes, 3);
         CHECK(each * static_cast<double>(nodes) <= slack);
         CHECK(each >= 1);
         CHECK(each <= 3);
     }
-    retry_budget budget({.share = 0.5, .most = 3});
-    budget.set_most(1);
+    retry_budget budget({.share = 0.5, .max_tokens = 3});
+    budget.set_max_tokens(1);
     CHECK(budget.take());
     CHECK_FALSE(budget.take());
     budget.note_request();
