--- a/include/peppertack/coordination/admission.hpp
+++ b/include/peppertack/coordination/admission.hpp
@@ -58,7 +58,7 @@
     std::uint32_t m_in_flight = 0;
     std::size_t m_queued = 0;
     std::unordered_map<std::uint64_t, std::deque<item>> m_by_key;
-    std::deque<std::uint64_t> m_turns; ///< keys with queued requests, in round-robin order
+    std::deque<std::uint64_t> m_key_order; ///< keys with queued requests, in round-robin order
     duration m_service_time = std::chrono::milliseconds(1);
 };
 
--- a/include/peppertack/coordination/admission_level.hpp
+++ b/include/peppertack/coordination/admission_level.hpp
@@ -40,7 +40,7 @@
 class admission_meter {
 public:
     void record_offered(const admission_class &request, instant now);
-    /// Precondition: the request was noted as offered.
+    /// Precondition: the request was recorded as offered.
     void record_rejected(const admission_class &request, instant now);
     /// Share of such requests that was accepted recently; 1 while too few were offered.
     double share(const admission_class &request, instant now) const;
--- a/include/peppertack/coordination/dependency_admission.hpp
+++ b/include/peppertack/coordination/dependency_admission.hpp
@@ -55,12 +55,12 @@
         open      ///< admits all requests; their calls are expendable
     };
     static double fresh_share(const dependency &known, instant now);
-    void choose_mode(instant now);
-    void enter(mode next, duration length, instant now);
+    void update_mode(instant now);
+    void set_mode(mode next, duration length, instant now);
 
     std::map<std::string, dependency> m_routes;
     mode m_mode = mode::shedding;
-    instant m_entered{};
+    instant m_mode_since{};
     instant m_review_at{};
     double m_level = 1;           ///< `admission_level::fresh` when shedding was last in force
     unsigned int m_runs = 0;      ///< started in the current open period, and ended
--- a/include/peppertack/coordination/request_router.hpp
+++ b/include/peppertack/coordination/request_router.hpp
@@ -49,8 +49,8 @@
         instant sent{};
         instant probe_at{};
         instant retry_at{};
-        error_kind waits_for = error_kind::no_owner;
-        bool maybe_ran = false; ///< an earlier attempt may have reached a target
+        error_kind wait_reason = error_kind::no_owner;
+        bool may_have_run = false; ///< an earlier attempt may have reached a target
     };
 
     entry *find(const request_id &id);
--- a/include/peppertack/coordination/retry_budget.hpp
+++ b/include/peppertack/coordination/retry_budget.hpp
@@ -18,8 +18,8 @@
 class retry_budget {
 public:
     struct options {
-        double share = 0.1;     ///< tokens added per request
-        double max_tokens = 20; ///< maximum number of tokens
+        double share = 0.1; ///< tokens added per request
+        double max_tokens = 20;
     };
 
     explicit retry_budget(options settings) : m_options(settings), m_tokens(settings.max_tokens) {}
--- a/include/peppertack/coordination/retry_detector.hpp
+++ b/include/peppertack/coordination/retry_detector.hpp
@@ -17,9 +17,10 @@
 /// time-out has a later deadline than any that was refused before. Not thread safe.
 class retry_detector {
 public:
-    /// Records that a request was refused with a retry time; its caller first sent it at `asked`
-    /// and waits until `deadline`.
-    void record_refusal(const std::string &route, instant deadline, instant asked, instant now);
+    /// Records that a request was refused with a retry time; its caller first sent it at
+    /// `first_sent` and waits until `deadline`.
+    void record_refusal(const std::string &route, instant deadline, instant first_sent,
+                        instant now);
     /// Returns when the caller of a request first sent it, if it was refused before and first sent
     /// more than 60 ms ago. Removes the record.
     std::optional<instant> take(const std::string &route, instant deadline, instant now);
--- a/include/peppertack/coordination/target_selector.hpp
+++ b/include/peppertack/coordination/target_selector.hpp
@@ -46,10 +46,11 @@
     struct options {
         /// Older reports are ignored: the requests they counted have mostly completed.
         duration report_lifetime = std::chrono::seconds(1);
-        unsigned int ejection_threshold = 3; ///< consecutive
+        unsigned int ejection_threshold = 3; ///< consecutive failures
         duration base_ejection_time =
             std::chrono::milliseconds(700); ///< doubles with each consecutive ejection
         duration max_ejection_time = std::chrono::seconds(6);
+        /// Assumed for targets without reports.
         duration prior_service_time = std::chrono::milliseconds(100);
         std::uint32_t prior_limit = 8;
         std::string failure_domain; ///< of this node
--- a/src/coordination/admission.cpp
+++ b/src/coordination/admission.cpp
@@ -35,7 +35,7 @@
         return verdict::refused;
     }
     if (own_queued == 0) {
-        m_turns.push_back(request.key_hash);
+        m_key_order.push_back(request.key_hash);
     }
     m_by_key[request.key_hash].push_back(request);
     ++m_queued;
@@ -50,8 +50,8 @@
 
 std::optional<std::uint64_t> admission::next(instant now, std::vector<std::uint64_t> &expired) {
     while (m_queued > 0 && m_in_flight < m_limits.in_flight) {
-        const std::uint64_t key = m_turns.front();
-        m_turns.pop_front();
+        const std::uint64_t key = m_key_order.front();
+        m_key_order.pop_front();
         std::deque<item> &waiting = m_by_key[key];
         const item request = waiting.front();
         waiting.pop_front();
@@ -59,7 +59,7 @@
         if (waiting.empty()) {
             m_by_key.erase(key);
         } else {
-            m_turns.push_back(key);
+            m_key_order.push_back(key);
         }
         if (request.deadline <= now) {
             expired.push_back(request.request);
@@ -82,7 +82,7 @@
         waiting.erase(place);
         --m_queued;
         if (waiting.empty()) {
-            std::erase(m_turns, key);
+            std::erase(m_key_order, key);
             m_by_key.erase(key);
         }
         return true;
@@ -99,7 +99,7 @@
     }
     std::sort(result.begin(), result.end());
     m_by_key.clear();
-    m_turns.clear();
+    m_key_order.clear();
     m_queued = 0;
     return result;
 }
--- a/src/coordination/dependency_admission.cpp
+++ b/src/coordination/dependency_admission.cpp
@@ -8,19 +8,19 @@
 
 /// The latest answer has a weight of 1 / smoothing, since the targets of a service differ in load.
 constexpr double smoothing = 16;
-constexpr duration window = std::chrono::milliseconds(200);
+constexpr duration window_length = std::chrono::milliseconds(200);
 /// Rejections up to this share of the nested calls of a window don't lower the admitted share.
-constexpr double tolerated = 0.04;
-constexpr double increase = 0.05; ///< of the share, per window with tolerated rejections
+constexpr double tolerated_rejections = 0.04;
+constexpr double share_increase = 0.05; ///< of the share, per window with tolerated rejections
 /// Some requests are always admitted: only their calls show when capacity is available again.
 constexpr double min_share = 0.05;
 /// Without calls a level loses weight linearly and expires after this time.
 constexpr std::chrono::seconds level_lifetime(2);
 
 /// At higher levels hardly any workload gains from admitting all requests.
-constexpr double open_below = 0.4;
+constexpr double open_admission_threshold = 0.4;
 /// All requests are admitted for this long before their outcome is compared.
-constexpr duration trial = std::chrono::milliseconds(500);
+constexpr duration open_trial = std::chrono::milliseconds(500);
 constexpr unsigned int min_runs = 10;
 constexpr std::chrono::seconds review_interval(4);
 /// After a period of open admission, requests are shed for this long to measure the level again:
@@ -52,7 +52,7 @@
     dependency &known = m_routes[route];
     if (now >= known.last_report + level_lifetime) {
         known = {};
-        known.window_end = now + window;
+        known.window_end = now + window_length;
     }
     known.last_report = now;
     if (reported) {
@@ -65,11 +65,12 @@
         return;
     }
     const double part = static_cast<double>(known.rejected) / known.calls;
-    known.share = part > tolerated ? known.share * (1 - part) : known.share + increase;
+    known.share =
+        part > tolerated_rejections ? known.share * (1 - part) : known.share + share_increase;
     known.share = std::clamp(known.share, min_share, 1.0);
     known.calls = 0;
     known.rejected = 0;
-    known.window_end = now + window;
+    known.window_end = now + window_length;
 }
 
 double dependency_admission::fresh_share(const dependency &known, instant now) {
@@ -101,46 +102,46 @@
     return limiting;
 }
 
-void dependency_admission::enter(mode next, duration length, instant now) {
+void dependency_admission::set_mode(mode next, duration length, instant now) {
     m_mode = next;
-    m_entered = now;
+    m_mode_since = now;
     m_review_at = now + length;
     m_runs = 0;
     m_succeeded = 0;
 }
 
-void dependency_admission::choose_mode(instant now) {
+void dependency_admission::update_mode(instant now) {
     if (now < m_review_at) {
         return;
     }
     if (m_mode == mode::shedding) {
         m_level = level(now).fresh;
-        if (m_level < open_below) {
-            enter(mode::open, trial, now);
+        if (m_level < open_admission_threshold) {
+            set_mode(mode::open, open_trial, now);
         }
         return;
     }
-    if (m_runs < min_runs && now < m_entered + review_interval) {
+    if (m_runs < min_runs && now < m_mode_since + review_interval) {
         return;
     }
     const bool better = m_runs >= min_runs && m_succeeded > m_level * m_runs;
-    if (better && now < m_entered + review_interval) {
-        m_review_at = m_entered + review_interval;
+    if (better && now < m_mode_since + review_interval) {
+        m_review_at = m_mode_since + review_interval;
     } else {
-        enter(mode::shedding, better ? shedding_trial : duration(review_interval), now);
+        set_mode(mode::shedding, better ? shedding_trial : duration(review_interval), now);
     }
 }
 
 void dependency_admission::record_run(instant started, bool succeeded, instant now) {
-    choose_mode(now);
-    if (m_mode == mode::open && started >= m_entered) {
+    update_mode(now);
+    if (m_mode == mode::open && started >= m_mode_since) {
         ++m_runs;
         m_succeeded += succeeded ? 1 : 0;
     }
 }
 
 bool dependency_admission::admits(bool expired, double draw, instant now) {
-    choose_mode(now);
+    update_mode(now);
     if (m_mode == mode::open) {
         return true;
     }
--- a/src/coordination/request_router.cpp
+++ b/src/coordination/request_router.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr duration retry_after_no_owner = std::chrono::milliseconds(500);
-constexpr duration retry_pause = std::chrono::milliseconds(20);
+constexpr duration retry_delay = std::chrono::milliseconds(20);
 
 /// Whether the refusal only means that the range has another owner, none, or is being moved.
 bool is_routing(error_kind error) {
@@ -52,7 +52,7 @@
 }
 
 caller_response request_router::refusal(error_kind error, const entry &value) const {
-    caller_response response{.result = value.maybe_ran ? outcome::unknown : outcome::not_run,
+    caller_response response{.result = value.may_have_run ? outcome::unknown : outcome::not_run,
                              .error = error};
     response.retry_after = retry_after_no_owner;
     return response;
@@ -113,7 +113,7 @@
     }
     m_by_id.erase(value.id.sequence);
     value.state = phase::waiting;
-    value.waits_for = reason;
+    value.wait_reason = reason;
     value.retry_at = at.now + pause;
 }
 
@@ -153,7 +153,7 @@
         retry_or_finish(value, std::move(response), at);
         return;
     }
-    if (value.maybe_ran) {
+    if (value.may_have_run) {
         response.result = outcome::unknown;
     }
     finish(value, std::move(response), at);
@@ -170,7 +170,7 @@
 }
 
 void request_router::retry_or_finish(entry &value, caller_response response, moment at) {
-    const bool in_time = at.now + retry_pause < value.deadline;
+    const bool in_time = at.now + retry_delay < value.deadline;
     const bool suspect = response.result == outcome::unknown &&
                          m_lease.suspects().suspects(fingerprint_of(value.request));
     if (!in_time || suspect || !m_budget.take()) {
@@ -178,7 +178,7 @@
         return;
     }
     ++m_counters.retries;
-    wait(value, response.error, jittered(retry_pause), at);
+    wait(value, response.error, jittered(retry_delay), at);
 }
 
 void request_router::finish(entry &value, caller_response response, moment) {
@@ -233,7 +233,7 @@
 
 /// Called when the owner has ended or no longer knows the request, and no answer arrived.
 void request_router::handle_owner_loss(entry &value, moment at) {
-    value.maybe_ran = true;
+    value.may_have_run = true;
     if (safe_to_resend(value)) {
         // A new owner knows the key from the standby copy, or reports that it can't know.
         wait(value, error_kind::target_lost, m_options.reroute_interval, at);
@@ -246,7 +246,7 @@
     std::vector<std::uint64_t> due;
     for (auto &[ticket, value] : m_entries) {
         if (value.state == phase::waiting) {
-            if (is_routing(value.waits_for)) {
+            if (is_routing(value.wait_reason)) {
                 due.push_back(ticket);
             }
         } else if (value.state == phase::remote) {
@@ -273,10 +273,10 @@
 void request_router::tick(moment at) {
     std::vector<std::uint64_t> due;
     for (const auto &[ticket, value] : m_entries) {
-        const bool acts = value.deadline <= at.now ||
-                          (value.state == phase::waiting && value.retry_at <= at.now) ||
-                          (value.state == phase::remote && value.probe_at <= at.now);
-        if (acts) {
+        const bool is_due = value.deadline <= at.now ||
+                            (value.state == phase::waiting && value.retry_at <= at.now) ||
+                            (value.state == phase::remote && value.probe_at <= at.now);
+        if (is_due) {
             due.push_back(ticket);
         }
     }
@@ -293,7 +293,7 @@
             probe(value, at);
         } else if (value.state == phase::remote) {
             m_effects.messages.push_back({value.address, cancel_request{value.id}});
-            value.maybe_ran = true;
+            value.may_have_run = true;
             finish(value, refusal(error_kind::deadline_after_target, value), at);
         }
         // A local request past its deadline is ended by `range_owner`, which knows its progress.
--- a/src/coordination/retry_detector.cpp
+++ b/src/coordination/retry_detector.cpp
@@ -19,7 +19,7 @@
     callers.erase(callers.begin(), expired_end);
 }
 
-void retry_detector::record_refusal(const std::string &route, instant deadline, instant asked,
+void retry_detector::record_refusal(const std::string &route, instant deadline, instant first_sent,
                                     instant now) {
     if (m_size >= max_records) {
         // Includes routes that are no longer requested, whose records would fill the limit forever.
@@ -31,7 +31,7 @@
     by_deadline &callers = m_routes[route];
     remove_expired(callers, now);
     if (deadline > now && m_size < max_records) {
-        callers.emplace(deadline, asked);
+        callers.emplace(deadline, first_sent);
         ++m_size;
     }
 }
@@ -50,16 +50,16 @@
     while (match != end && match->second + latest_match >= now) {
         ++match;
     }
-    std::optional<instant> asked;
+    std::optional<instant> first_sent;
     if (match != end) {
-        asked = match->second;
+        first_sent = match->second;
         callers.erase(match);
         --m_size;
     }
     if (callers.empty()) {
         m_routes.erase(known);
     }
-    return asked;
+    return first_sent;
 }
 
 } // namespace peppertack
--- a/src/coordination/target_selector.cpp
+++ b/src/coordination/target_selector.cpp
@@ -19,18 +19,18 @@
     if (known == nullptr) {
         return m_options.prior_service_time;
     }
-    const auto reported =
+    const auto entry =
         m_options.times_by_route ? known->by_route.find(route) : known->by_route.end();
-    if (reported != known->by_route.end()) {
-        return reported->second;
+    if (entry != known->by_route.end()) {
+        return entry->second;
     }
     const duration mean = known->load.service_time;
     return mean > duration{} ? mean : m_options.prior_service_time;
 }
 
 double target_selector::capacity(const state *known, const std::string &route) const {
-    const bool reported = known != nullptr && known->load.limit > 0;
-    const double limit = reported ? known->load.limit : m_options.prior_limit;
+    const bool has_limit = known != nullptr && known->load.limit > 0;
+    const double limit = has_limit ? known->load.limit : m_options.prior_limit;
     return limit / static_cast<double>(expected_service_time(known, route).count());
 }
 
@@ -49,8 +49,8 @@
         const std::uint32_t since =
             known.outstanding - std::min(known.outstanding, known.at_report);
         busy = known.load.in_flight + since;
-        const bool reported = m_options.times_by_route && known.load.route_time > duration{};
-        backlog = reported ? known.load.backlog : mean * known.load.waiting / limit;
+        const bool has_route_time = m_options.times_by_route && known.load.route_time > duration{};
+        backlog = has_route_time ? known.load.backlog : mean * known.load.waiting / limit;
     }
     const double fill = static_cast<double>(busy + 1) / limit;
     // Below its limit a target's service time does not depend on its load, but a fuller one reaches
--- a/tests/coordination/retry_detector_test.cpp
+++ b/tests/coordination/retry_detector_test.cpp
@@ -26,8 +26,8 @@
 TEST_CASE("a new caller is not taken for one that was refused before") {
     retry_detector detector;
     for (int i = 0; i < 100; ++i) {
-        const instant asked = start + i * 10ms;
-        detector.record_refusal("bookings", asked + caller_timeout, asked, asked);
+        const instant first_sent = start + i * 10ms;
+        detector.record_refusal("bookings", first_sent + caller_timeout, first_sent, first_sent);
     }
     // A later caller with the same time-out, and one with an earlier deadline than any other.
     CHECK_FALSE(detector.take("bookings", start + 1100ms + caller_timeout, start + 1100ms));
--- a/tests/coordination/target_selector_test.cpp
+++ b/tests/coordination/target_selector_test.cpp
@@ -29,83 +29,85 @@
 } // namespace
 
 TEST_CASE("the target with the earliest completion is chosen more often, the fullest never") {
-    three_targets world;
-    world.selector.record_load(1, {.in_flight = 2, .limit = 18, .service_time = 100ms}, start);
-    world.selector.record_load(2, {.in_flight = 9, .limit = 18, .service_time = 100ms}, start);
-    world.selector.record_load(
+    three_targets fixture;
+    fixture.selector.record_load(1, {.in_flight = 2, .limit = 18, .service_time = 100ms}, start);
+    fixture.selector.record_load(2, {.in_flight = 9, .limit = 18, .service_time = 100ms}, start);
+    fixture.selector.record_load(
         3, {.in_flight = 18, .waiting = 20, .limit = 18, .service_time = 100ms}, start);
-    const auto counts = world.choose(900, start);
+    const auto counts = fixture.choose(900, start);
     CHECK(counts.at(1) > counts.at(2));
     CHECK(counts.count(3) == 0);
 }
 
 TEST_CASE("a target that is three times as fast gets most of the requests") {
-    three_targets world;
-    world.selector.record_load(1, {.limit = 18, .service_time = 100ms}, start);
-    world.selector.record_load(2, {.limit = 18, .service_time = 300ms}, start);
-    world.selector.record_load(3, {.limit = 18, .service_time = 300ms}, start);
-    const auto counts = world.choose(900, start);
+    three_targets fixture;
+    fixture.selector.record_load(1, {.limit = 18, .service_time = 100ms}, start);
+    fixture.selector.record_load(2, {.limit = 18, .service_time = 300ms}, start);
+    fixture.selector.record_load(3, {.limit = 18, .service_time = 300ms}, start);
+    const auto counts = fixture.choose(900, start);
     CHECK(counts.at(1) > 450);
 }
 
 TEST_CASE("a target that fails repeatedly is ejected for a while, but never all of them") {
-    three_targets world;
+    three_targets fixture;
     const auto fail = [&](target_number number) {
         for (int i = 0; i < 3; ++i) {
-            world.selector.record_sent(number);
-            world.selector.record_outcome(number, call_outcome::failed, start);
+            fixture.selector.record_sent(number);
+            fixture.selector.record_outcome(number, call_outcome::failed, start);
         }
     };
     fail(2);
-    CHECK(world.selector.ejected(2, start));
-    CHECK(world.choose(300, start).count(2) == 0);
-    CHECK_FALSE(world.selector.ejected(2, start + 1s));
+    CHECK(fixture.selector.ejected(2, start));
+    CHECK(fixture.choose(300, start).count(2) == 0);
+    CHECK_FALSE(fixture.selector.ejected(2, start + 1s));
     fail(1);
     fail(3);
-    const auto counts = world.choose(300, start);
+    const auto counts = fixture.choose(300, start);
     CHECK(counts.count(no_target) == 0);
-    world.selector.record_sent(2);
-    world.selector.record_outcome(2, call_outcome::served, start);
-    CHECK_FALSE(world.selector.ejected(2, start));
+    fixture.selector.record_sent(2);
+    fixture.selector.record_outcome(2, call_outcome::served, start);
+    CHECK_FALSE(fixture.selector.ejected(2, start));
 }
 
 TEST_CASE("a target that was tried for a request is not chosen again for it") {
-    three_targets world;
-    const auto counts = world.choose(100, start, {1, 3});
+    three_targets fixture;
+    const auto counts = fixture.choose(100, start, {1, 3});
     CHECK(counts.size() == 1);
     CHECK(counts.count(2) == 1);
-    CHECK(world.choose(1, start, {1, 2, 3}).count(no_target) == 1);
+    CHECK(fixture.choose(1, start, {1, 2, 3}).count(no_target) == 1);
 }
 
 TEST_CASE("the wait for receiving large bodies affects large requests only") {
     // Guards against uploads, and small calls behind them, taking seconds to reach two targets
     // while the links of others are idle, if only the requests waiting for the targets are
     // considered.
-    three_targets world;
-    world.selector.record_load(1, {.limit = 18, .service_time = 100ms, .body_wait = 900ms}, start);
-    world.selector.record_load(2, {.limit = 18, .service_time = 100ms, .body_wait = 50ms}, start);
-    world.selector.record_load(3, {.limit = 18, .service_time = 100ms, .body_wait = 900ms}, start);
-    CHECK(world.choose(900, start).at(2) < 450);
-    world.shape.large_body = true;
-    CHECK(world.choose(900, start).at(2) > 550); // whenever it is drawn
+    three_targets fixture;
+    fixture.selector.record_load(1, {.limit = 18, .service_time = 100ms, .body_wait = 900ms},
+                                 start);
+    fixture.selector.record_load(2, {.limit = 18, .service_time = 100ms, .body_wait = 50ms}, start);
+    fixture.selector.record_load(3, {.limit = 18, .service_time = 100ms, .body_wait = 900ms},
+                                 start);
+    CHECK(fixture.choose(900, start).at(2) < 450);
+    fixture.shape.large_body = true;
+    CHECK(fixture.choose(900, start).at(2) > 550); // whenever it is drawn
 }
 
 // Guards against treating a target as fast because it receives short requests.
 TEST_CASE("a target's cost is estimated from its service time on the requested route") {
-    three_targets world;
+    three_targets fixture;
     const auto report_load = [&](target_number number, duration mean, duration backlog) {
         target_load load{.in_flight = 18, .limit = 18, .service_time = mean, .backlog = backlog};
         load.route_time = 150ms;
-        world.selector.record_load(number, load, start, "booking");
+        fixture.selector.record_load(number, load, start, "booking");
         load.route_time = 22ms;
-        world.selector.record_load(number, load, start, "call");
+        fixture.selector.record_load(number, load, start, "call");
     };
     report_load(1, 40ms, 90ms); // many calls, and a queue of bookings
     report_load(2, 150ms, 0ms);
     report_load(3, 150ms, 0ms);
     for (const char *route : {"booking", "call"}) {
-        world.shape.route = route;
-        CHECK(world.choose(300, start)[1] == 0);
+        fixture.shape.route = route;
+        CHECK(fixture.choose(300, start)[1] == 0);
     }
 }
 
@@ -133,30 +135,30 @@
 }
 
 TEST_CASE("the target beside the node is always considered, without the wait for large bodies") {
-    three_targets world;
-    world.routes[2].address = "own";
+    three_targets fixture;
+    fixture.routes[2].address = "own";
     for (const target_number number : {1U, 2U, 3U}) {
-        world.selector.record_load(
+        fixture.selector.record_load(
             number, {.in_flight = 9, .limit = 18, .service_time = 100ms, .body_wait = 500ms},
             start);
     }
-    world.shape.large_body = true;
-    CHECK(world.choose(300, start).at(3) == 300);
-    world.selector.record_load(
+    fixture.shape.large_body = true;
+    CHECK(fixture.choose(300, start).at(3) == 300);
+    fixture.selector.record_load(
         3, {.in_flight = 18, .waiting = 90, .limit = 18, .service_time = 100ms}, start);
-    CHECK(world.choose(300, start).count(3) == 0);
+    CHECK(fixture.choose(300, start).count(3) == 0);
 }
 
 TEST_CASE("an unreachable target is ejected immediately") {
     // Guards against counting a failed connection like any other failure: when a third of a
     // service's targets went down with their nodes, every node tried each of them three times, each
     // attempt took a full call time-out, and an eighth of the calls failed for four seconds.
-    three_targets world;
-    world.selector.record_sent(2);
-    world.selector.record_outcome(2, call_outcome::unreachable, start);
-    CHECK(world.selector.ejected(2, start));
-    CHECK(world.choose(300, start).count(2) == 0);
-    world.selector.record_sent(1);
-    world.selector.record_outcome(1, call_outcome::failed, start);
-    CHECK_FALSE(world.selector.ejected(1, start));
+    three_targets fixture;
+    fixture.selector.record_sent(2);
+    fixture.selector.record_outcome(2, call_outcome::unreachable, start);
+    CHECK(fixture.selector.ejected(2, start));
+    CHECK(fixture.choose(300, start).count(2) == 0);
+    fixture.selector.record_sent(1);
+    fixture.selector.record_outcome(1, call_outcome::failed, start);
+    CHECK_FALSE(fixture.selector.ejected(1, start));
 }
