--- a/src/coordination/idempotency_store.cpp
+++ b/src/coordination/idempotency_store.cpp
@@ -43,8 +43,7 @@
     return true;
 }
 
-/// Without its body the answer can't be returned again, but it is still known that the request was
-/// received, so it is not run again.
+/// Without its body the answer can't be returned again, but it is still known that the request ran.
 void idempotency_store::drop_body(remembered_key &value) {
     value.response.body.reset();
     value.phase = key_phase::unknown;
--- a/tests/coordination/dependency_admission_test.cpp
+++ b/tests/coordination/dependency_admission_test.cpp
@@ -57,12 +57,12 @@
     queued_target(timeline &time, std::uint32_t slots) : m_time(time), m_queue({.limit = slots}) {}
 
     void set_slots(std::uint32_t slots) { m_queue.set_limit(slots); }
-    void offer(request one) {
-        const std::uint64_t id = one.item.id;
-        switch (m_queue.offer(one.item, m_time.now())) {
-        case work_queue::verdict::start: one.begin(); break;
-        case work_queue::verdict::wait: m_waiting[id] = std::move(one); break;
-        case work_queue::verdict::refuse: one.rejected(); break;
+    void offer(request arrival) {
+        const std::uint64_t id = arrival.item.id;
+        switch (m_queue.offer(arrival.item, m_time.now())) {
+        case work_queue::verdict::start: arrival.begin(); break;
+        case work_queue::verdict::wait: m_waiting[id] = std::move(arrival); break;
+        case work_queue::verdict::refuse: arrival.rejected(); break;
         }
     }
     void end(const std::string &kind, duration took) {
@@ -89,10 +89,10 @@
     explicit two_tiers(bool admission) : m_admission(admission) {}
 
     struct counts {
-        double asked = 0;
+        double offered = 0;
         double in_time = 0;
         double wasted = 0; ///< runs that failed because a nested call was rejected
-        double share() const { return in_time / asked; }
+        double share() const { return in_time / offered; }
     };
     std::map<std::string, counts> of;
 
@@ -104,7 +104,7 @@
         }
         m_time.run_until(end);
         for (auto &[kind, count] : of) {
-            MESSAGE(kind << ": asked " << count.asked << ", in time " << count.in_time
+            MESSAGE(kind << ": offered " << count.offered << ", in time " << count.in_time
                          << ", wasted " << count.wasted);
         }
     }
@@ -138,7 +138,7 @@
     }
 
     void book() {
-        ++of["booking"].asked;
+        ++of["booking"].offered;
         const instant objective = m_time.now() + 400ms;
         try_booking(0, objective);
     }
@@ -164,7 +164,7 @@
     }
 
     void look_up() {
-        ++of["lookup"].asked;
+        ++of["lookup"].offered;
         try_lookup(0, m_time.now() + 300ms);
     }
     void try_lookup(int tries, instant objective) {
@@ -252,8 +252,8 @@
         tiers->set_desk(34);
         tiers->run(30s);
     }
-    CHECK(with.of["lookup"].wasted <= 0.02 * with.of["lookup"].asked);
-    CHECK(without.of["lookup"].wasted >= 0.2 * without.of["lookup"].asked);
+    CHECK(with.of["lookup"].wasted <= 0.02 * with.of["lookup"].offered);
+    CHECK(without.of["lookup"].wasted >= 0.2 * without.of["lookup"].offered);
     const auto useful = [](two_tiers &tiers) {
         return tiers.of["lookup"].in_time * lookup_call_work +
                tiers.of["booking"].in_time * booking_work;
--- a/tests/coordination/work_queue_test.cpp
+++ b/tests/coordination/work_queue_test.cpp
@@ -81,16 +81,16 @@
             }
             now = next_arrival;
             next_arrival += duration(static_cast<duration::rep>(gap(random) * 1e6));
-            work_queue::item one{.id = ++id,
-                                 .kind = "r",
-                                 .priority = static_cast<int>(id % priorities),
-                                 .arrived = now,
-                                 .objective = now + objective,
-                                 .deadline = now + objective * 2};
-            items[id] = one;
+            work_queue::item request{.id = ++id,
+                                     .kind = "r",
+                                     .priority = static_cast<int>(id % priorities),
+                                     .arrived = now,
+                                     .objective = now + objective,
+                                     .deadline = now + objective * 2};
+            items[id] = request;
             arrived[id] = now;
             ++offered;
-            const auto verdict = queue.offer(one, now);
+            const auto verdict = queue.offer(request, now);
             if (verdict == work_queue::verdict::start) {
                 begin(id);
             }
@@ -290,9 +290,9 @@
     // three times the capacity, and a call always has the earliest objective, so that the order has
     // to take into account which kind was refused more.
     struct load {
-        double asked = 0;
+        double offered = 0;
         double served = 0;
-        double part() const { return served / asked; }
+        double part() const { return served / offered; }
     };
     std::map<std::string, load> loads;
     busy_target target{.service = {{"call", 22ms}, {"booking", 120ms}}};
@@ -314,7 +314,7 @@
                                        .arrived = now,
                                        .objective = now + objective,
                                        .deadline = now + 2 * objective};
-        ++loads[request.kind].asked;
+        ++loads[request.kind].offered;
         target.offer(request, now);
     }
     MESSAGE("served of calls " << loads["call"].part() << ", of bookings "
@@ -349,13 +349,13 @@
         }
     };
     const auto send = [&](std::uint64_t caller, instant now) {
-        const instant asked = callers[caller].first;
+        const instant first_sent = callers[caller].first;
         target.offer({.id = caller,
                       .kind = "r",
                       .priority = 1,
                       .arrived = now,
-                      .objective = asked + 400ms,
-                      .deadline = asked + 2500ms},
+                      .objective = first_sent + 400ms,
+                      .deadline = first_sent + 2500ms},
                      now);
     };
     std::mt19937_64 random(3);
