--- a/include/peppertack/coordination/node_options.hpp
+++ b/include/peppertack/coordination/node_options.hpp
@@ -53,7 +53,7 @@
     std::uint32_t connections = 1;
     bool checks_tokens = false;
     bool draining = false;
-    /// Of its life, or `any_life`; used with `named_registrations` only.
+    /// Of its life, or `any_incarnation`; used with `named_registrations` only.
     std::uint64_t incarnation = 0;
 
     friend bool operator==(const target_announcement &, const target_announcement &) = default;
--- a/include/peppertack/transport/traffic/node_agent.hpp
+++ b/include/peppertack/transport/traffic/node_agent.hpp
@@ -1,12 +1,12 @@
 #pragma once
 
 #include "peppertack/coordination/crash_watch.hpp"
-#include "peppertack/coordination/ended_lives.hpp"
+#include "peppertack/coordination/ended_incarnations.hpp"
 #include "peppertack/coordination/hold_caller.hpp"
 #include "peppertack/coordination/hold_keeper.hpp"
 #include "peppertack/coordination/key_load_counter.hpp"
 #include "peppertack/coordination/lease_client.hpp"
-#include "peppertack/coordination/target_life.hpp"
+#include "peppertack/coordination/target_incarnation.hpp"
 #include "peppertack/coordination/work_queue.hpp"
 #include "peppertack/protocol/hop_header.hpp"
 #include "peppertack/transport/traffic/traffic_options.hpp"
@@ -22,8 +22,9 @@
 /// What a target says of itself in a heartbeat.
 struct target_heartbeat {
     std::string name;
-    std::optional<std::uint64_t> born; ///< tells lives under one name apart; see `target_life`
-    std::string address;               ///< IP:port at which it takes requests
+    std::optional<std::uint64_t>
+        born;            ///< tells lives under one name apart; see `target_incarnation`
+    std::string address; ///< IP:port at which it takes requests
     std::string service;
     std::uint32_t slots = 1;
     std::uint64_t sequence = 0; ///< grows with each heartbeat of one life
@@ -31,7 +32,7 @@
     duration cold_left{};       ///< it is slow for so much longer
     hold_report report;
 
-    target_life life() const { return {name, born}; }
+    target_incarnation life() const { return {name, born}; }
     friend bool operator==(const target_heartbeat &, const target_heartbeat &) = default;
 };
 
@@ -82,13 +83,13 @@
     /// What is wrong with a call of this life; what is, must change nothing. The clock of a target
     /// may have been set back between two lives: the one that began earlier by it is taken on once
     /// the one in force is known to have ended, or has been silent for as long as it may hold keys.
-    call_fault judge(const target_life &life, instant now) const;
+    call_fault judge(const target_incarnation &life, instant now) const;
     /// The same for a heartbeat. A service that no table names would end the registration of a
     /// target at work under that name while it still holds its keys.
     call_fault judge(const target_heartbeat &beat, instant now) const;
     /// The target is leaving and says nothing more. Yields what is wrong with the call, if
     /// anything.
-    call_fault target_leaves(const target_life &life, moment at);
+    call_fault target_leaves(const target_incarnation &life, moment at);
     /// The same for a call that names no life: the one in force is meant.
     void target_leaves(const std::string &name, moment at);
     /// Whether the target has said that it leaves.
@@ -175,7 +176,7 @@
     void check_identity(const target_heartbeat &beat);
     void look_for_target();
     void assume_target(const std::string &name, moment at);
-    void note_farewell(const target_life &life, instant now);
+    void note_farewell(const target_incarnation &life, instant now);
     void drop_target(const char *why, bool ended, moment at);
     void announce(moment at);
     void follow(const lease_client::change &changed);
@@ -204,7 +205,7 @@
     instant m_beat_at{};
     instant m_draining_since{}; ///< zero while the target is not leaving
     bool m_left = false;        ///< it says nothing more
-    ended_lives m_ended;
+    ended_incarnations m_ended;
     instant m_reborn_at{};  ///< when a new life followed under the name of the old one
     std::string m_probing;  ///< name that is being checked
     bool m_looked = false;  ///< for a target that was here before this process
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -1,7 +1,7 @@
 #include "peppertack/coordination/control_core.hpp"
 
 #include "peppertack/coordination/planted_defects.hpp"
-#include "peppertack/coordination/target_life.hpp"
+#include "peppertack/coordination/target_incarnation.hpp"
 #include "peppertack/state/key_hash.hpp"
 
 #include <algorithm>
@@ -406,7 +406,8 @@
     if (record == nullptr || record->phase == target_phase::gone) {
         return nullptr;
     }
-    const bool resumed = request.target.incarnation == any_life && record->node_address == from;
+    const bool resumed =
+        request.target.incarnation == any_incarnation && record->node_address == from;
     return resumed || record->incarnation == request.target.incarnation ? record : nullptr;
 }
 
@@ -465,7 +466,7 @@
 
 void control_core::register_node(const renew_request &request, const node_address &from,
                                  moment at) {
-    if (request.target.incarnation == any_life || request.draining || request.giving_up ||
+    if (request.target.incarnation == any_incarnation || request.draining || request.giving_up ||
         !m_state.has_service(request.target.service) ||
         !m_registering.insert(registration_key(request.target)).second) {
         return;
--- a/src/coordination/ended_lives.cpp
+++ b/src/coordination/ended_incarnations.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/ended_lives.hpp"
+#include "peppertack/coordination/ended_incarnations.hpp"
 
 #include <algorithm>
 
@@ -11,31 +11,31 @@
 
 } // namespace
 
-void ended_lives::note(const target_life &life, instant now) {
+void ended_incarnations::note(const target_incarnation &life, instant now) {
     m_lives.push_back({life, now});
     if (m_lives.size() > most_lives) {
         m_lives.pop_front();
     }
 }
 
-bool ended_lives::fresh(const ended_life &ended, instant now) {
+bool ended_incarnations::fresh(const ended_incarnation &ended, instant now) {
     return !ended.life.born || now < ended.at + memory;
 }
 
-bool ended_lives::has_ended(const target_life &life, instant now) const {
-    return std::any_of(m_lives.begin(), m_lives.end(), [&](const ended_life &ended) {
+bool ended_incarnations::has_ended(const target_incarnation &life, instant now) const {
+    return std::any_of(m_lives.begin(), m_lives.end(), [&](const ended_incarnation &ended) {
         return ended.life == life && fresh(ended, now);
     });
 }
 
-bool ended_lives::has_left(const std::string &name, instant now) const {
-    return std::any_of(m_lives.begin(), m_lives.end(), [&](const ended_life &ended) {
+bool ended_incarnations::has_ended_recently(const std::string &name, instant now) const {
+    return std::any_of(m_lives.begin(), m_lives.end(), [&](const ended_incarnation &ended) {
         return ended.life.name == name && fresh(ended, now);
     });
 }
 
-bool ended_lives::told_start(const std::string &name) const {
-    return std::any_of(m_lives.begin(), m_lives.end(), [&](const ended_life &ended) {
+bool ended_incarnations::has_known_start(const std::string &name) const {
+    return std::any_of(m_lives.begin(), m_lives.end(), [&](const ended_incarnation &ended) {
         return ended.life.name == name && ended.life.born;
     });
 }
--- a/src/coordination/lease_client.cpp
+++ b/src/coordination/lease_client.cpp
@@ -1,7 +1,7 @@
 #include "peppertack/coordination/lease_client.hpp"
 
 #include "peppertack/coordination/planted_defects.hpp"
-#include "peppertack/coordination/target_life.hpp"
+#include "peppertack/coordination/target_incarnation.hpp"
 #include "peppertack/coordination/voter_roster.hpp"
 #include "peppertack/state/packed_text.hpp"
 #include "peppertack/state/routing_delta.hpp"
@@ -49,7 +49,7 @@
 /// Whether this is not the target, or not the life, that was announced before.
 bool lease_client::is_other(const target_announcement &announcement) const {
     const bool same_life = m_announcement->incarnation == announcement.incarnation ||
-                           m_announcement->incarnation == any_life;
+                           m_announcement->incarnation == any_incarnation;
     return m_announcement->name != announcement.name ||
            m_announcement->service != announcement.service || !same_life;
 }
--- a/src/transport/traffic/node_agent.cpp
+++ b/src/transport/traffic/node_agent.cpp
@@ -95,7 +95,8 @@
         return item.second.name == name && item.second.address == m_options.node.self &&
                item.second.phase == target_phase::serving;
     });
-    if (m_target || m_stopping || known == targets.end() || m_ended.has_left(name, at.now)) {
+    if (m_target || m_stopping || known == targets.end() ||
+        m_ended.has_ended_recently(name, at.now)) {
         return;
     }
     log_event(log_level::info, "target_assumed", {{"target", name}});
@@ -157,14 +158,15 @@
     if (m_stopping && !keyed()) {
         return;
     }
-    m_lease.announce({.name = m_target->name,
-                      .service = m_target->service,
-                      .slots = m_target->slots,
-                      .connections = m_target->slots,
-                      .checks_tokens = true,
-                      .draining = target_leaving(),
-                      .incarnation = m_assumed ? any_life : incarnation_of(m_target->life())},
-                     at);
+    m_lease.announce(
+        {.name = m_target->name,
+         .service = m_target->service,
+         .slots = m_target->slots,
+         .connections = m_target->slots,
+         .checks_tokens = true,
+         .draining = target_leaving(),
+         .incarnation = m_assumed ? any_incarnation : incarnation_id(m_target->life())},
+        at);
 }
 
 void node_agent::receive(const node_address &from, const message &body, moment at) {
@@ -348,7 +350,7 @@
 
 void node_agent::target_names_limit(std::optional<double> per_second, std::uint64_t life,
                                     instant now) {
-    if (!m_target || incarnation_of(m_target->life()) != life || per_second == m_queue.rate()) {
+    if (!m_target || incarnation_id(m_target->life()) != life || per_second == m_queue.rate()) {
         return;
     }
     const bool begins_or_ends = per_second.has_value() != m_queue.rate().has_value();
@@ -363,7 +365,7 @@
 }
 
 void node_agent::target_says_leaving(std::uint64_t life, moment at) {
-    if (!m_target || m_draining_since != instant{} || incarnation_of(m_target->life()) != life) {
+    if (!m_target || m_draining_since != instant{} || incarnation_id(m_target->life()) != life) {
         return;
     }
     m_draining_since = at.now;
@@ -417,7 +419,7 @@
     if (ended && !m_assumed) {
         m_ended.note(m_target->life(), at.now);
         if (m_draining_since == instant{}) {
-            m_crashes.note_end(m_target->name, incarnation_of(m_target->life()), at.now);
+            m_crashes.note_end(m_target->name, incarnation_id(m_target->life()), at.now);
         }
     }
     const std::string address = m_target->address;
@@ -439,10 +441,10 @@
 
 bool node_agent::lives_told_apart(const std::string &name) const {
     const bool present = m_target && m_target->name == name && m_target->born;
-    return present || m_ended.told_start(name);
+    return present || m_ended.has_known_start(name);
 }
 
-call_fault node_agent::judge(const target_life &life, instant now) const {
+call_fault node_agent::judge(const target_incarnation &life, instant now) const {
     if (!life.born) {
         return lives_told_apart(life.name) ? call_fault::born_missing : call_fault::none;
     }
@@ -461,7 +463,7 @@
     return judge(beat.life(), now);
 }
 
-call_fault node_agent::target_leaves(const target_life &life, moment at) {
+call_fault node_agent::target_leaves(const target_incarnation &life, moment at) {
     const call_fault fault = judge(life, at.now);
     if (fault != call_fault::none) {
         return fault;
@@ -491,7 +493,7 @@
 
 /// This node was started again and has not heard of the target yet. It says nothing more, so taking
 /// it up later, by the map, would give it work after its farewell was acknowledged.
-void node_agent::note_farewell(const target_life &life, instant now) {
+void node_agent::note_farewell(const target_incarnation &life, instant now) {
     log_event(log_level::info, "target_leaves", {{"target", life.name}, {"known", false}});
     if (m_unjudged && m_unjudged->beat.name == life.name) {
         m_unjudged.reset();
--- a/src/transport/traffic/target_relay.cpp
+++ b/src/transport/traffic/target_relay.cpp
@@ -255,7 +255,7 @@
     m_host.metrics().note_queue(now - m_received);
     m_started = now;
     const target_heartbeat &target = m_host.agent().target();
-    m_life = incarnation_of(target.life());
+    m_life = incarnation_id(target.life());
     const traffic_headers &names = m_host.options().headers;
     http_head head;
     head.method = m_sender->request().method;
--- a/tests/coordination/world.cpp
+++ b/tests/coordination/world.cpp
@@ -362,21 +362,24 @@
                     std::to_string(other) + " owned its key");
         }
     }
-    const std::uint64_t target_life = item.target.life;
-    schedule(duration(500 + m_random() % 20'000), index,
-             [this, index, call, target_life] { run_at_target(index, call, target_life); });
+    const std::uint64_t target_incarnation = item.target.life;
+    schedule(duration(500 + m_random() % 20'000), index, [this, index, call, target_incarnation] {
+        run_at_target(index, call, target_incarnation);
+    });
 }
 
-void world::run_at_target(std::size_t index, const target_call &call, std::uint64_t target_life) {
+void world::run_at_target(std::size_t index, const target_call &call,
+                          std::uint64_t target_incarnation) {
     host &item = *m_hosts[index];
-    if (!item.target.up || item.target.life != target_life) {
+    if (!item.target.up || item.target.life != target_incarnation) {
         end_call(index, call.call, {.result = call_result::kind::lost});
         return;
     }
     if (item.target.frozen) {
         // It has the bytes and goes on with them when it wakes, whatever happened meanwhile.
-        schedule(duration(20'000), index,
-                 [this, index, call, target_life] { run_at_target(index, call, target_life); });
+        schedule(duration(20'000), index, [this, index, call, target_incarnation] {
+            run_at_target(index, call, target_incarnation);
+        });
         return;
     }
     call_result result{.result = call_result::kind::answered, .status = 200};
--- a/tests/coordination/world.hpp
+++ b/tests/coordination/world.hpp
@@ -167,7 +167,8 @@
     void deliver(std::size_t to, const node_address &from, const message &body);
     void start_call(std::size_t index, const target_call &call);
     void write_call(std::size_t index, const target_call &call);
-    void run_at_target(std::size_t index, const target_call &call, std::uint64_t target_life);
+    void run_at_target(std::size_t index, const target_call &call,
+                       std::uint64_t target_incarnation);
     void end_call(std::size_t index, std::uint64_t call, call_result result);
     void take_answer(const caller_answer &answer, host &at);
     void check_answer(const submission &item);
