--- a/include/peppertack/coordination/range_owner.hpp
+++ b/include/peppertack/coordination/range_owner.hpp
@@ -7,7 +7,7 @@
 #include "peppertack/coordination/lease_client.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/coordination/node_options.hpp"
-#include "peppertack/coordination/standby_link.hpp"
+#include "peppertack/coordination/standby_replicator.hpp"
 
 #include <cstdint>
 #include <deque>
@@ -156,7 +156,7 @@
     local_reply m_reply;
     admission m_admission;
     key_memory m_memory;
-    standby_link m_standby;
+    standby_replicator m_standby;
     hot_key_counter m_hot;
     crash_watch m_crashes;
     target_number m_number = no_target;
--- a/include/peppertack/coordination/standby_link.hpp
+++ b/include/peppertack/coordination/standby_replicator.hpp
@@ -20,14 +20,14 @@
 /// Keeps a standby's copy of the remembered keys complete: first everything, then each change, in
 /// batches of which one at a time is under way. While the copy counts, nothing that may run only
 /// once is started before its key is held there. Not thread safe.
-class standby_link {
+class standby_replicator {
 public:
     struct options {
         duration resend_interval = std::chrono::milliseconds(100);
         duration timeout = std::chrono::milliseconds(250);
     };
 
-    explicit standby_link(options settings) : m_options(settings) {}
+    explicit standby_replicator(options settings) : m_options(settings) {}
 
     /// Takes the standby named by the map; `owner` is this node's own registration. Yields waiters
     /// that need not wait any more since the former copy has stopped counting.
--- a/src/coordination/standby_link.cpp
+++ b/src/coordination/standby_replicator.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/standby_link.hpp"
+#include "peppertack/coordination/standby_replicator.hpp"
 
 #include "peppertack/coordination/planted_defects.hpp"
 
@@ -7,15 +7,15 @@
 
 namespace peppertack {
 
-std::vector<standby_waiter> standby_link::take_waiters() {
+std::vector<standby_waiter> standby_replicator::take_waiters() {
     std::vector<standby_waiter> waiters = std::exchange(m_batch_waiters, {});
     std::move(m_pending_waiters.begin(), m_pending_waiters.end(), std::back_inserter(waiters));
     m_pending_waiters.clear();
     return waiters;
 }
 
-std::vector<standby_waiter> standby_link::follow(target_number owner, const target_route &own,
-                                                 const node_address &standby_address) {
+std::vector<standby_waiter> standby_replicator::follow(target_number owner, const target_route &own,
+                                                       const node_address &standby_address) {
     m_ready = own.standby_ready;
     if (owner == m_owner && own.standby == m_standby && own.standby_epoch == m_epoch) {
         m_address = standby_address;
@@ -34,11 +34,11 @@
     return take_waiters();
 }
 
-std::vector<standby_waiter> standby_link::reset() {
+std::vector<standby_waiter> standby_replicator::reset() {
     return follow(no_target, target_route{}, {});
 }
 
-bool standby_link::add(const remembered_key &key, std::optional<standby_waiter> waiter) {
+bool standby_replicator::add(const remembered_key &key, std::optional<standby_waiter> waiter) {
     if (m_standby == no_target) {
         return false;
     }
@@ -50,7 +50,7 @@
     return true;
 }
 
-bool standby_link::add_all(const std::vector<remembered_key> &keys, standby_waiter waiter) {
+bool standby_replicator::add_all(const std::vector<remembered_key> &keys, standby_waiter waiter) {
     if (m_standby == no_target) {
         return false;
     }
@@ -62,7 +62,8 @@
     return true;
 }
 
-void standby_link::step(const key_memory &memory, instant now, std::vector<outgoing> &messages) {
+void standby_replicator::step(const key_memory &memory, instant now,
+                              std::vector<outgoing> &messages) {
     if (m_standby == no_target || m_address.empty()) {
         return;
     }
@@ -88,7 +89,7 @@
     messages.push_back({m_address, *m_batch});
 }
 
-std::vector<standby_waiter> standby_link::receive(const remember_reply &reply) {
+std::vector<standby_waiter> standby_replicator::receive(const remember_reply &reply) {
     if (!m_batch || reply.sequence != m_batch_sequence) {
         return {};
     }
@@ -110,7 +111,7 @@
     return std::exchange(m_batch_waiters, {});
 }
 
-void standby_link::report(renew_request &request, instant now) const {
+void standby_replicator::report(renew_request &request, instant now) const {
     request.standby_epoch = m_epoch;
     if (m_standby == no_target) {
         return;
--- a/tests/coordination/parts_test.cpp
+++ b/tests/coordination/parts_test.cpp
@@ -5,7 +5,7 @@
 #include "peppertack/coordination/placement.hpp"
 #include "peppertack/coordination/retry_budget.hpp"
 #include "peppertack/coordination/route_map.hpp"
-#include "peppertack/coordination/standby_link.hpp"
+#include "peppertack/coordination/standby_replicator.hpp"
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -216,7 +216,7 @@
 TEST_CASE("a standby that lost its copy is sent everything before anything counts again") {
     // Symptom: a resend runs again after a loss. Sequence: the standby answers that it does not
     // hold the copy; a new key arrives. Cause it guards against: going on with single changes.
-    standby_link link({});
+    standby_replicator link({});
     key_memory memory;
     std::vector<outgoing> sent;
     target_route own{.number = 1, .standby = 2, .standby_epoch = 9};
