--- a/include/peppertack/coordination/control_core.hpp
+++ b/include/peppertack/coordination/control_core.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peppertack/coordination/lease_book.hpp"
+#include "peppertack/coordination/lease_registry.hpp"
 #include "peppertack/coordination/load_book.hpp"
 #include "peppertack/coordination/map_updates.hpp"
 #include "peppertack/coordination/messages.hpp"
@@ -96,7 +96,7 @@
     const control_state &state() const { return m_state; }
     const replica &replication() const { return *m_replica; }
     const std::map<node_address, node_report> &nodes() const { return m_nodes; }
-    const lease_book &leases() const { return m_leases; }
+    const lease_registry &leases() const { return m_leases; }
     /// Highest measured load over weight share among a service's targets; 1 is perfect.
     /// Precondition: the service has ranges.
     double imbalance_of(const std::string &service) const;
@@ -152,7 +152,7 @@
     std::unique_ptr<replica> m_replica;
     control_state m_state;
     audit_sink m_audit;
-    lease_book m_leases;
+    lease_registry m_leases;
     greedy_placement m_placement;
     voter_roster m_roster;
     std::deque<std::pair<std::uint64_t, std::uint64_t>> m_proofs; ///< round, ticket
--- a/include/peppertack/coordination/lease_book.hpp
+++ b/include/peppertack/coordination/lease_registry.hpp
@@ -27,9 +27,9 @@
 };
 
 /// The leader's record of when each target's lease has surely ended. Not thread safe.
-class lease_book {
+class lease_registry {
 public:
-    explicit lease_book(lease_timing timing) : m_timing(timing) {}
+    explicit lease_registry(lease_timing timing) : m_timing(timing) {}
 
     const lease_timing &timing() const { return m_timing; }
     /// Forgets everything: the next leader starts from `assume_renewed` for each live target.
--- a/include/peppertack/coordination/node_options.hpp
+++ b/include/peppertack/coordination/node_options.hpp
@@ -2,7 +2,7 @@
 
 #include "peppertack/coordination/admission.hpp"
 #include "peppertack/coordination/key_memory.hpp"
-#include "peppertack/coordination/lease_book.hpp"
+#include "peppertack/coordination/lease_registry.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/coordination/retry_budget.hpp"
 
--- a/src/coordination/lease_book.cpp
+++ b/src/coordination/lease_registry.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/lease_book.hpp"
+#include "peppertack/coordination/lease_registry.hpp"
 
 #include <algorithm>
 
@@ -20,21 +20,21 @@
     return scaled(length, 1 + drift) + (checks_tokens ? duration{} : unchecked_wait);
 }
 
-void lease_book::note_renewed(target_number number, bool checks_tokens, instant now) {
+void lease_registry::note_renewed(target_number number, bool checks_tokens, instant now) {
     lease &entry = m_leases[number];
     entry.ends = std::max(entry.ends, now + m_timing.leader_wait(checks_tokens));
 }
 
-void lease_book::revoke(target_number number) {
+void lease_registry::revoke(target_number number) {
     m_leases[number].revoked = true;
 }
 
-bool lease_book::revoked(target_number number) const {
+bool lease_registry::revoked(target_number number) const {
     const auto found = m_leases.find(number);
     return found != m_leases.end() && found->second.revoked;
 }
 
-std::vector<target_number> lease_book::take_ended(instant now) {
+std::vector<target_number> lease_registry::take_ended(instant now) {
     std::vector<target_number> ended;
     for (auto &[number, entry] : m_leases) {
         if (!entry.taken && entry.ends <= now) {
@@ -47,7 +47,7 @@
     return ended;
 }
 
-std::optional<instant> lease_book::ends_at(target_number number) const {
+std::optional<instant> lease_registry::ends_at(target_number number) const {
     const auto found = m_leases.find(number);
     return found == m_leases.end() ? std::nullopt : std::optional(found->second.ends);
 }
--- a/tests/coordination/parts_test.cpp
+++ b/tests/coordination/parts_test.cpp
@@ -1,7 +1,7 @@
 #include "peppertack/coordination/admission.hpp"
 #include "peppertack/coordination/hot_key_counter.hpp"
 #include "peppertack/coordination/key_memory.hpp"
-#include "peppertack/coordination/lease_book.hpp"
+#include "peppertack/coordination/lease_registry.hpp"
 #include "peppertack/coordination/placement.hpp"
 #include "peppertack/coordination/retry_budget.hpp"
 #include "peppertack/coordination/route_map.hpp"
@@ -126,7 +126,7 @@
             static_cast<double>(timing.leader_wait(true).count()) / leader_rate;
         RC_ASSERT(node_end <= leader_end);
     }));
-    lease_book book{{}};
+    lease_registry book{{}};
     book.note_renewed(3, true, start);
     CHECK(book.take_ended(start + 700ms).empty());
     CHECK(book.take_ended(start + 809ms) == std::vector<target_number>{3});
