--- a/include/peppertack/coordination/crash_watch.hpp
+++ b/include/peppertack/coordination/crash_reporter.hpp
@@ -16,7 +16,7 @@
 /// connection alone says nothing: answers are lost and connections reset for other reasons too.
 /// Only once it is certain that the process has ended do the requests that it did not answer any
 /// more become a report. Not thread safe.
-class crash_watch {
+class crash_reporter {
 public:
     /// A life of the target has answered a request in full. `known`: what the leader told this
     /// node.
@@ -45,21 +45,21 @@
         std::uint64_t fingerprint = 0;
         instant at{};
     };
-    struct ended_life {
+    struct ended_process {
         std::string target;
         std::uint64_t life = 0;
         instant at{};
-        bool told = false;
+        bool reported = false;
     };
 
-    std::vector<std::uint64_t> running_at_end(const ended_life &ended) const;
+    std::vector<std::uint64_t> running_at_end(const ended_process &ended) const;
     bool answered_before(const lost_run &run) const;
 
     std::deque<lost_run> m_lost;          ///< in order of time
     std::vector<answered_run> m_answered; ///< by a part of the fingerprint; empty until needed
     std::uint64_t m_answering = 0;        ///< life that has answered last
     instant m_answered_at{};
-    std::vector<ended_life> m_ended;
+    std::vector<ended_process> m_ended;
     std::set<std::uint64_t> m_acquitted; ///< suspect requests that were answered here
 };
 
--- a/include/peppertack/coordination/range_owner.hpp
+++ b/include/peppertack/coordination/range_owner.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peppertack/coordination/admission.hpp"
-#include "peppertack/coordination/crash_watch.hpp"
+#include "peppertack/coordination/crash_reporter.hpp"
 #include "peppertack/coordination/hot_key_counter.hpp"
 #include "peppertack/coordination/key_memory.hpp"
 #include "peppertack/coordination/lease_client.hpp"
@@ -158,7 +158,7 @@
     key_memory m_memory;
     standby_replicator m_standby;
     hot_key_counter m_hot;
-    crash_watch m_crashes;
+    crash_reporter m_crashes;
     target_number m_number = no_target;
     std::vector<own_range> m_own; ///< sorted
     std::unordered_map<std::uint64_t, served_request> m_served;
--- a/include/peppertack/transport/traffic/node_agent.hpp
+++ b/include/peppertack/transport/traffic/node_agent.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peppertack/coordination/crash_watch.hpp"
+#include "peppertack/coordination/crash_reporter.hpp"
 #include "peppertack/coordination/ended_incarnations.hpp"
 #include "peppertack/coordination/hold_caller.hpp"
 #include "peppertack/coordination/hold_keeper.hpp"
@@ -197,7 +197,7 @@
     hold_keeper m_holds;
     hold_caller m_caller;
     work_queue m_queue;
-    crash_watch m_crashes;
+    crash_reporter m_crashes;
     route_index m_index;
     std::function<void()> m_on_change;
     std::function<void(const std::string &)> m_on_target_gone;
--- a/src/coordination/crash_watch.cpp
+++ b/src/coordination/crash_reporter.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/crash_watch.hpp"
+#include "peppertack/coordination/crash_reporter.hpp"
 
 #include "peppertack/coordination/planted_defects.hpp"
 
@@ -26,8 +26,8 @@
 
 } // namespace
 
-void crash_watch::note_answered(std::uint64_t fingerprint, std::uint64_t life,
-                                const suspect_list &known, instant now) {
+void crash_reporter::note_answered(std::uint64_t fingerprint, std::uint64_t life,
+                                   const suspect_list &known, instant now) {
     m_answering = life;
     m_answered_at = now;
     m_answered.resize(answered_places);
@@ -37,7 +37,7 @@
     }
 }
 
-void crash_watch::note_unanswered(std::uint64_t fingerprint, std::uint64_t life, instant now) {
+void crash_reporter::note_unanswered(std::uint64_t fingerprint, std::uint64_t life, instant now) {
     if (fingerprint == 0) {
         return;
     }
@@ -47,18 +47,18 @@
     }
 }
 
-void crash_watch::note_end(const std::string &target, std::uint64_t life, instant now) {
+void crash_reporter::note_end(const std::string &target, std::uint64_t life, instant now) {
     std::erase_if(m_ended,
-                  [&](const ended_life &ended) { return ended.at + report_lifetime < now; });
+                  [&](const ended_process &ended) { return ended.at + report_lifetime < now; });
     const bool known = std::any_of(m_ended.begin(), m_ended.end(),
-                                   [&](const ended_life &ended) { return ended.life == life; });
+                                   [&](const ended_process &ended) { return ended.life == life; });
     if (!known && m_ended.size() < most_ended) {
         m_ended.push_back({target, life, now});
     }
 }
 
 /// It may be popular: then it was running at a target that something else has ended.
-bool crash_watch::answered_before(const lost_run &run) const {
+bool crash_reporter::answered_before(const lost_run &run) const {
     if (m_answered.empty() || g_defects.ignore_answered) {
         return false;
     }
@@ -66,7 +66,7 @@
     return answered.fingerprint == run.fingerprint && run.at < answered.at + acquitted_by_answer;
 }
 
-std::vector<std::uint64_t> crash_watch::running_at_end(const ended_life &ended) const {
+std::vector<std::uint64_t> crash_reporter::running_at_end(const ended_process &ended) const {
     instant from = ended.at - longest_end;
     if (m_answering == ended.life) {
         from = std::max(from, m_answered_at - answer_lag);
@@ -83,9 +83,9 @@
     return running;
 }
 
-std::vector<crash_report> crash_watch::due(instant now) const {
+std::vector<crash_report> crash_reporter::due(instant now) const {
     std::vector<crash_report> reports;
-    for (const ended_life &ended : m_ended) {
+    for (const ended_process &ended : m_ended) {
         if (now < ended.at + report_delay) {
             continue;
         }
@@ -98,27 +98,27 @@
     return reports;
 }
 
-bool crash_watch::urgent(instant now) const {
-    return std::any_of(m_ended.begin(), m_ended.end(), [&](const ended_life &ended) {
-        return !ended.told && ended.at + report_delay <= now;
+bool crash_reporter::urgent(instant now) const {
+    return std::any_of(m_ended.begin(), m_ended.end(), [&](const ended_process &ended) {
+        return !ended.reported && ended.at + report_delay <= now;
     });
 }
 
-void crash_watch::fill_report(renew_request &request, const suspect_list &known, instant now) {
+void crash_reporter::fill_report(renew_request &request, const suspect_list &known, instant now) {
     request.crashes = due(now);
     if (g_defects.tell_crash_once) {
         std::erase_if(m_ended,
-                      [&](const ended_life &ended) { return ended.at + report_delay <= now; });
+                      [&](const ended_process &ended) { return ended.at + report_delay <= now; });
     }
-    for (ended_life &ended : m_ended) {
-        ended.told = ended.told || ended.at + report_delay <= now;
+    for (ended_process &ended : m_ended) {
+        ended.reported = ended.reported || ended.at + report_delay <= now;
     }
     std::erase_if(m_acquitted,
                   [&](std::uint64_t fingerprint) { return !known.suspects(fingerprint); });
     request.acquitted.assign(m_acquitted.begin(), m_acquitted.end());
 }
 
-void crash_watch::recorded(const std::vector<std::uint64_t> &lives) {
+void crash_reporter::recorded(const std::vector<std::uint64_t> &lives) {
     const auto listed = [&](const auto &item) {
         return std::find(lives.begin(), lives.end(), item.life) != lives.end();
     };
--- a/tests/coordination/crash_watch_test.cpp
+++ b/tests/coordination/crash_reporter_test.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/crash_watch.hpp"
+#include "peppertack/coordination/crash_reporter.hpp"
 
 #include <doctest/doctest.h>
 
@@ -16,7 +16,7 @@
 } // namespace
 
 TEST_CASE("broken connections are reported only once the target has ended") {
-    crash_watch watch;
+    crash_reporter watch;
     watch.note_unanswered(cause, life, start);
     CHECK(watch.due(start + 10s).empty());
     watch.note_end("t", life, start + 10s);
@@ -30,7 +30,7 @@
 }
 
 TEST_CASE("runs that broke off before the target answered others are not reported with its end") {
-    crash_watch watch;
+    crash_reporter watch;
     watch.note_unanswered(popular, life, start);
     watch.note_answered(popular + 1, life, {}, start + 1s);
     watch.note_unanswered(cause, life, start + 1s);
@@ -41,14 +41,14 @@
 }
 
 TEST_CASE("runs of another life of the target are not reported with this one") {
-    crash_watch watch;
+    crash_reporter watch;
     watch.note_unanswered(cause, life + 1, start);
     watch.note_end("t", life, start);
     CHECK(watch.due(start + 1s).empty());
 }
 
 TEST_CASE("a request that the target has just answered did not end it") {
-    crash_watch watch;
+    crash_reporter watch;
     watch.note_answered(popular, life, {}, start);
     watch.note_unanswered(popular, life, start + 1s);
     watch.note_unanswered(cause, life, start + 1s);
@@ -59,14 +59,14 @@
 }
 
 TEST_CASE("a request without a fingerprint is never under suspicion") {
-    crash_watch watch;
+    crash_reporter watch;
     watch.note_unanswered(0, life, start);
     watch.note_end("t", life, start);
     CHECK(watch.due(start + 1s).empty());
 }
 
 TEST_CASE("a report that no leader takes is given up in the end") {
-    crash_watch watch;
+    crash_reporter watch;
     watch.note_unanswered(cause, life, start);
     watch.note_end("t", life, start);
     watch.note_end("u", life + 1, start + 1h);
@@ -74,7 +74,7 @@
 }
 
 TEST_CASE("an answer to a suspect request is reported until the leader has cleared it") {
-    crash_watch watch;
+    crash_reporter watch;
     suspect_list known;
     known.replace(1, {{cause, false}});
     watch.note_answered(cause, life, known, start);
@@ -90,7 +90,7 @@
 }
 
 TEST_CASE("a report does not wait for the next renewal") {
-    crash_watch watch;
+    crash_reporter watch;
     watch.note_unanswered(cause, life, start);
     CHECK_FALSE(watch.urgent(start + 1s));
     watch.note_end("t", life, start);
