--- a/include/peppertack/coordination/suspect_list.hpp
+++ b/include/peppertack/coordination/suspect_list.hpp
@@ -17,7 +17,7 @@
     /// Whether targets have ended under the request before.
     bool suspects(std::uint64_t fingerprint) const { return m_all.count(fingerprint) != 0; }
     /// Whether the request must not reach a target.
-    bool quarantines(std::uint64_t fingerprint) const;
+    bool is_quarantined(std::uint64_t fingerprint) const;
     std::size_t size() const { return m_all.size(); }
     std::size_t quarantined() const;
 
--- a/src/coordination/range_owner.cpp
+++ b/src/coordination/range_owner.cpp
@@ -91,7 +91,7 @@
         return;
     }
     served.fingerprint = fingerprint_of(served.request);
-    if (m_lease.suspects().quarantines(served.fingerprint)) {
+    if (m_lease.suspects().is_quarantined(served.fingerprint)) {
         reply(served, refusal(error_kind::quarantined), at);
         return;
     }
@@ -219,7 +219,7 @@
         finish(serial, refusal(error_kind::no_owner), at);
         return;
     }
-    if (m_lease.suspects().quarantines(served.fingerprint)) {
+    if (m_lease.suspects().is_quarantined(served.fingerprint)) {
         m_admission.finish(m_admission.service_time());
         finish(serial, refusal(error_kind::quarantined), at);
         return;
--- a/src/coordination/request_router.cpp
+++ b/src/coordination/request_router.cpp
@@ -64,7 +64,7 @@
         return;
     }
     const suspect_list &suspects = m_lease.suspects();
-    if (suspects.size() != 0 && suspects.quarantines(fingerprint_of(value.request))) {
+    if (suspects.size() != 0 && suspects.is_quarantined(fingerprint_of(value.request))) {
         finish(value, refusal(error_kind::quarantined, value), at);
         return;
     }
--- a/src/coordination/suspect_list.cpp
+++ b/src/coordination/suspect_list.cpp
@@ -14,7 +14,7 @@
     }
 }
 
-bool suspect_list::quarantines(std::uint64_t fingerprint) const {
+bool suspect_list::is_quarantined(std::uint64_t fingerprint) const {
     const auto found = m_all.find(fingerprint);
     return found != m_all.end() && found->second && !g_defects.ignore_suspects;
 }
--- a/src/transport/traffic/entry_relay.cpp
+++ b/src/transport/traffic/entry_relay.cpp
@@ -227,7 +227,7 @@
     if (m_fingerprint == 0) {
         m_fingerprint = fingerprint();
     }
-    if (m_host.agent().lease().suspects().quarantines(m_fingerprint)) {
+    if (m_host.agent().lease().suspects().is_quarantined(m_fingerprint)) {
         refuse(error_kind::quarantined, outcome::not_run, quarantine_retry_after);
         return;
     }
--- a/src/transport/traffic/node_agent.cpp
+++ b/src/transport/traffic/node_agent.cpp
@@ -537,7 +537,7 @@
 }
 
 std::optional<error_kind> node_agent::refusal(const hop_request &request, instant now) const {
-    if (m_lease.suspects().quarantines(request.fingerprint)) {
+    if (m_lease.suspects().is_quarantined(request.fingerprint)) {
         return error_kind::quarantined;
     }
     // A target of another service would run what no route leads to it.
