--- a/include/peppertack/coordination/hold_caller.hpp
+++ b/include/peppertack/coordination/hold_call_scheduler.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peppertack/coordination/hold_keeper.hpp"
+#include "peppertack/coordination/hold_manager.hpp"
 #include "peppertack/coordination/lease_client.hpp"
 
 #include <cstdint>
@@ -45,7 +45,7 @@
 /// grant without an answer may be carried out any time later, also after a release that was
 /// answered, but its time still counts from when it was read. So its keys are free only when the
 /// longest time that it can run has passed. Not thread safe.
-class hold_caller {
+class hold_call_scheduler {
 public:
     struct options {
         /// Longest hold of one grant. Keys of a target that fell silent, or whose grant got no
@@ -76,7 +76,8 @@
     };
 
     /// `keeper` outlives this and is told of released ranges.
-    hold_caller(options settings, hold_keeper &keeper) : m_options(settings), m_keeper(keeper) {}
+    hold_call_scheduler(options settings, hold_manager &keeper)
+        : m_options(settings), m_keeper(keeper) {}
 
     /// Calls to be made now. `alive_at`: when the target last sent a heartbeat.
     std::vector<hold_call> due(const lease_client &lease, instant alive_at, instant now);
@@ -151,7 +152,7 @@
     duration longest(duration length) const;
 
     options m_options;
-    hold_keeper &m_keeper;
+    hold_manager &m_keeper;
     std::uint64_t m_last_id = 0;
     std::map<std::uint64_t, pending> m_in_flight; ///< by call
     std::vector<granted> m_granted;
--- a/include/peppertack/coordination/hold_keeper.hpp
+++ b/include/peppertack/coordination/hold_manager.hpp
@@ -52,7 +52,7 @@
 /// Hands a node's lease on to a target that checks a lease of its own. What the target is told to
 /// hold always ends before the node's lease does, so that whoever is given the keys next never
 /// overlaps with it, also when this node is paused, cut off or gone. Not thread safe.
-class hold_keeper {
+class hold_manager {
 public:
     struct options {
         duration most_hold = std::chrono::seconds(10); ///< longest hold that a target takes
@@ -68,7 +68,7 @@
         not_owned, ///< another target's
     };
 
-    explicit hold_keeper(options settings) : m_options(settings) {}
+    explicit hold_manager(options settings) : m_options(settings) {}
 
     /// Takes what a heartbeat says of released keys.
     void note(const hold_report &report, const lease_client &lease);
--- a/include/peppertack/transport/traffic/hold_call_runner.hpp
+++ b/include/peppertack/transport/traffic/hold_call_runner.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peppertack/coordination/hold_caller.hpp"
+#include "peppertack/coordination/hold_call_scheduler.hpp"
 #include "peppertack/transport/http/http_client_pool.hpp"
 
 #include <cstdint>
@@ -23,7 +23,7 @@
     virtual hold_call_end read_answer(const hold_call &call, const http_head &head) const = 0;
 };
 
-/// Carries out the calls that a `hold_caller` decides on. Not thread safe.
+/// Carries out the calls that a `hold_call_scheduler` decides on. Not thread safe.
 class hold_call_runner {
 public:
     struct callbacks {
--- a/include/peppertack/transport/traffic/node_agent.hpp
+++ b/include/peppertack/transport/traffic/node_agent.hpp
@@ -2,8 +2,8 @@
 
 #include "peppertack/coordination/crash_reporter.hpp"
 #include "peppertack/coordination/ended_incarnations.hpp"
-#include "peppertack/coordination/hold_caller.hpp"
-#include "peppertack/coordination/hold_keeper.hpp"
+#include "peppertack/coordination/hold_call_scheduler.hpp"
+#include "peppertack/coordination/hold_manager.hpp"
 #include "peppertack/coordination/key_load_counter.hpp"
 #include "peppertack/coordination/lease_client.hpp"
 #include "peppertack/coordination/target_incarnation.hpp"
@@ -132,7 +132,7 @@
     // ---- keys that the target takes by calls ----
     /// Calls to make now. Where there are any there is a target, to which they go.
     std::vector<hold_call> due_hold_calls(instant now);
-    /// As in `hold_caller`.
+    /// As in `hold_call_scheduler`.
     std::vector<std::uint64_t> overdue_hold_calls(instant now) const {
         return m_caller.overdue(now);
     }
@@ -186,7 +186,7 @@
     /// How the local target is handed its keys; nothing if it takes none.
     std::optional<hold_delivery> delivery() const;
     void tell_delivery(hold_delivery way);
-    hold_keeper::key_state state_of(std::uint32_t key, instant now) const;
+    hold_manager::key_state state_of(std::uint32_t key, instant now) const;
     /// When the last hold given has ended for sure.
     instant may_hold_until() const;
 
@@ -194,8 +194,8 @@
     sender m_send;
     name_probe m_probe;
     lease_client m_lease;
-    hold_keeper m_holds;
-    hold_caller m_caller;
+    hold_manager m_holds;
+    hold_call_scheduler m_caller;
     work_queue m_queue;
     crash_reporter m_crashes;
     route_index m_index;
--- a/include/peppertack/transport/traffic/traffic_metrics.hpp
+++ b/include/peppertack/transport/traffic/traffic_metrics.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peppertack/coordination/hold_caller.hpp"
+#include "peppertack/coordination/hold_call_scheduler.hpp"
 #include "peppertack/state/error_kind.hpp"
 #include "peppertack/state/time.hpp"
 #include "peppertack/transport/delay_meter.hpp"
--- a/include/peppertack/transport/traffic/traffic_options.hpp
+++ b/include/peppertack/transport/traffic/traffic_options.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "peppertack/coordination/hold_caller.hpp"
-#include "peppertack/coordination/hold_keeper.hpp"
+#include "peppertack/coordination/hold_call_scheduler.hpp"
+#include "peppertack/coordination/hold_manager.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/coordination/node_options.hpp"
 #include "peppertack/coordination/retry_budget.hpp"
@@ -42,8 +42,8 @@
     std::string target_address;
     traffic_headers headers;
     node_options node;
-    hold_keeper::options holds;
-    hold_caller::options hold_calls;
+    hold_manager::options holds;
+    hold_call_scheduler::options hold_calls;
     /// Writes calls of holds; null: targets that take their keys by calls are given none.
     std::shared_ptr<const hold_call_format> hold_format;
     /// What the settings say of the local target's service, until a table is known.
--- a/src/coordination/hold_caller.cpp
+++ b/src/coordination/hold_call_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/hold_caller.hpp"
+#include "peppertack/coordination/hold_call_scheduler.hpp"
 
 #include "peppertack/coordination/planted_defects.hpp"
 #include "peppertack/state/key_hash.hpp"
@@ -15,7 +15,8 @@
 
 } // namespace
 
-std::vector<hold_call> hold_caller::due(const lease_client &lease, instant alive_at, instant now) {
+std::vector<hold_call> hold_call_scheduler::due(const lease_client &lease, instant alive_at,
+                                                instant now) {
     if (m_earlier_until == instant{}) {
         m_earlier_until = now + m_options.earlier_hold;
     }
@@ -31,9 +32,9 @@
 
 /// Follows the map. A span that was cut, joined or moved is another one; what was granted for the
 /// old one stays in `m_granted`.
-void hold_caller::take_wanted(const lease_client &lease) {
+void hold_call_scheduler::take_wanted(const lease_client &lease) {
     std::map<span_key, wanted> next;
-    for (const held_span &span : hold_keeper::wanted_spans(lease)) {
+    for (const held_span &span : hold_manager::wanted_spans(lease)) {
         const span_key key{span.from, span.token};
         const auto known = m_wanted.find(key);
         const bool same = known != m_wanted.end() && known->second.span == span;
@@ -42,7 +43,7 @@
     m_wanted = std::move(next);
 }
 
-void hold_caller::add_grants(std::vector<hold_call> &calls, instant alive_at, instant now) {
+void hold_call_scheduler::add_grants(std::vector<hold_call> &calls, instant alive_at, instant now) {
     const bool silent = m_lost_row > 0 && alive_at + m_options.sign_of_life < now;
     if (silent || stuck(now)) {
         return;
@@ -74,8 +75,8 @@
     }
 }
 
-void hold_caller::add_releases(std::vector<hold_call> &calls, const lease_client &lease,
-                               instant now) {
+void hold_call_scheduler::add_releases(std::vector<hold_call> &calls, const lease_client &lease,
+                                       instant now) {
     std::map<std::pair<std::uint64_t, fencing_token>, releasing> current;
     for (const lease_client::own_range &range : lease.own_ranges()) {
         if (range.record.next == no_target) {
@@ -86,7 +87,7 @@
         if (const auto known = m_releasing.find(key); known != m_releasing.end()) {
             item = known->second;
         }
-        const held_span span = hold_keeper::span_of(range);
+        const held_span span = hold_manager::span_of(range);
         if (free(span.from, span.to, now)) {
             m_keeper.note_released(range, item.handover);
             continue;
@@ -113,14 +114,14 @@
     m_releasing = std::move(current);
 }
 
-hold_call hold_caller::begin(hold_call::kind what, const held_span &span, instant now) {
+hold_call hold_call_scheduler::begin(hold_call::kind what, const held_span &span, instant now) {
     hold_call call{.id = ++m_last_id, .what = what, .span = span};
     m_in_flight[call.id] = {.call = call, .begun = now};
     return call;
 }
 
-std::optional<duration> hold_caller::write(std::uint64_t id, const lease_client &lease,
-                                           instant now) {
+std::optional<duration> hold_call_scheduler::write(std::uint64_t id, const lease_client &lease,
+                                                   instant now) {
     const auto found = m_in_flight.find(id);
     if (found == m_in_flight.end()) {
         return std::nullopt;
@@ -147,7 +148,7 @@
     return length;
 }
 
-std::vector<std::uint64_t> hold_caller::overdue(instant now) const {
+std::vector<std::uint64_t> hold_call_scheduler::overdue(instant now) const {
     std::vector<std::uint64_t> result;
     for (const auto &[id, item] : m_in_flight) {
         const bool grant = item.call.what == hold_call::kind::grant;
@@ -158,7 +159,7 @@
     return result;
 }
 
-void hold_caller::end(std::uint64_t id, const hold_call_end &how, instant now) {
+void hold_call_scheduler::end(std::uint64_t id, const hold_call_end &how, instant now) {
     const auto found = m_in_flight.find(id);
     if (found == m_in_flight.end()) {
         return;
@@ -172,7 +173,7 @@
     }
 }
 
-void hold_caller::end_grant(const pending &item, const hold_call_end &how, instant now) {
+void hold_call_scheduler::end_grant(const pending &item, const hold_call_end &how, instant now) {
     const held_span &span = item.call.span;
     const auto known = m_wanted.find({span.from, span.token});
     wanted *target =
@@ -201,7 +202,7 @@
     }
 }
 
-void hold_caller::end_release(const pending &item, const hold_call_end &how, instant now) {
+void hold_call_scheduler::end_release(const pending &item, const hold_call_end &how, instant now) {
     const auto known = std::find_if(m_releasing.begin(), m_releasing.end(), [&](const auto &entry) {
         return entry.second.call == item.call.id;
     });
@@ -221,7 +222,7 @@
 }
 
 /// A release that was answered ends what was granted, and answered, before it was written.
-void hold_caller::clear_answered(std::uint32_t from, std::uint32_t to, instant before) {
+void hold_call_scheduler::clear_answered(std::uint32_t from, std::uint32_t to, instant before) {
     std::vector<granted> left;
     for (const granted &item : m_granted) {
         const bool settled =
@@ -244,7 +245,7 @@
     m_granted = std::move(left);
 }
 
-bool hold_caller::free(std::uint32_t from, std::uint32_t to, instant now) const {
+bool hold_call_scheduler::free(std::uint32_t from, std::uint32_t to, instant now) const {
     const bool granted_still =
         std::any_of(m_granted.begin(), m_granted.end(), [&](const granted &item) {
             return item.from <= to && from <= item.to && now < item.ends;
@@ -253,21 +254,21 @@
            m_keeper.held_until() <= now;
 }
 
-bool hold_caller::grant_in_flight(std::uint32_t from, std::uint32_t to) const {
+bool hold_call_scheduler::grant_in_flight(std::uint32_t from, std::uint32_t to) const {
     return std::any_of(m_in_flight.begin(), m_in_flight.end(), [&](const auto &entry) {
         const hold_call &call = entry.second.call;
         return call.what == hold_call::kind::grant && call.span.from <= to && from <= call.span.to;
     });
 }
 
-bool hold_caller::holds(std::uint32_t key, instant now) const {
+bool hold_call_scheduler::holds(std::uint32_t key, instant now) const {
     return std::any_of(m_granted.begin(), m_granted.end(), [&](const granted &item) {
         const instant until = item.answered ? item.sure_until : item.ends;
         return item.from <= key && key <= item.to && now < until && !item.refused;
     });
 }
 
-instant hold_caller::may_hold_until() const {
+instant hold_call_scheduler::may_hold_until() const {
     instant last = m_earlier_until;
     for (const granted &item : m_granted) {
         last = std::max(last, item.ends);
@@ -280,7 +281,7 @@
     return last;
 }
 
-void hold_caller::note_refused(std::uint32_t key, instant now) {
+void hold_call_scheduler::note_refused(std::uint32_t key, instant now) {
     for (granted &item : m_granted) {
         item.refused = item.refused || (item.from <= key && key <= item.to);
     }
@@ -291,7 +292,7 @@
     }
 }
 
-void hold_caller::reset() {
+void hold_call_scheduler::reset() {
     m_in_flight.clear();
     m_granted.clear();
     m_wanted.clear();
@@ -299,19 +300,19 @@
     m_lost_row = 0;
 }
 
-bool hold_caller::stuck(instant now) const {
+bool hold_call_scheduler::stuck(instant now) const {
     return std::any_of(m_wanted.begin(), m_wanted.end(), [&](const auto &entry) {
         const auto &since = entry.second.refused_since;
         return since && *since + m_options.refused_limit <= now;
     });
 }
 
-void hold_caller::forget_ended(instant now) {
+void hold_call_scheduler::forget_ended(instant now) {
     std::erase_if(m_granted, [now](const granted &item) { return item.ends <= now; });
 }
 
 /// How long a hold may run by a clock that lags.
-duration hold_caller::longest(duration length) const {
+duration hold_call_scheduler::longest(duration length) const {
     return m_keeper.longest(length);
 }
 
--- a/src/coordination/hold_keeper.cpp
+++ b/src/coordination/hold_manager.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/hold_keeper.hpp"
+#include "peppertack/coordination/hold_manager.hpp"
 
 #include "peppertack/state/key_hash.hpp"
 
@@ -18,15 +18,15 @@
 
 } // namespace
 
-bool hold_keeper::still_held(const hold_report &report,
-                             const lease_client::own_range &range) const {
+bool hold_manager::still_held(const hold_report &report,
+                              const lease_client::own_range &range) const {
     return std::any_of(report.holds.begin(), report.holds.end(), [&](const held_span &span) {
         return span.from <= last_key(range) && span.to >= first_key(range);
     });
 }
 
-std::string hold_keeper::handover_of(const hold_report &report,
-                                     const lease_client::own_range &range) const {
+std::string hold_manager::handover_of(const hold_report &report,
+                                      const lease_client::own_range &range) const {
     const auto place =
         std::find_if(report.freed.begin(), report.freed.end(), [&](const freed_span &span) {
             return span.from <= first_key(range) && span.to >= first_key(range);
@@ -34,7 +34,7 @@
     return place == report.freed.end() ? std::string() : place->handover;
 }
 
-bool hold_keeper::expects_keys(const lease_client &lease) const {
+bool hold_manager::expects_keys(const lease_client &lease) const {
     const auto &announced = lease.announcement();
     const route_map::service_map *ranges =
         announced ? lease.map().find_service(announced->service) : nullptr;
@@ -47,7 +47,7 @@
                });
 }
 
-void hold_keeper::note(const hold_report &report, const lease_client &lease) {
+void hold_manager::note(const hold_report &report, const lease_client &lease) {
     std::map<std::uint64_t, release> released;
     for (const lease_client::own_range &range : lease.own_ranges()) {
         if (range.record.next == no_target || still_held(report, range)) {
@@ -64,11 +64,11 @@
     m_released = std::move(released);
 }
 
-held_span hold_keeper::span_of(const lease_client::own_range &range) {
+held_span hold_manager::span_of(const lease_client::own_range &range) {
     return {first_key(range), last_key(range), range.record.token, range.record.handover};
 }
 
-std::vector<held_span> hold_keeper::wanted_spans(const lease_client &lease) {
+std::vector<held_span> hold_manager::wanted_spans(const lease_client &lease) {
     std::vector<held_span> spans;
     for (const lease_client::own_range &range : lease.own_ranges()) {
         if (range.record.next != no_target) {
@@ -87,7 +87,7 @@
     return spans;
 }
 
-duration hold_keeper::length(const lease_client &lease, instant counted_from, instant now) const {
+duration hold_manager::length(const lease_client &lease, instant counted_from, instant now) const {
     if (!lease.lease_valid(now)) {
         return {};
     }
@@ -96,12 +96,13 @@
     return std::min(all - m_options.margin, m_options.most_hold);
 }
 
-duration hold_keeper::longest(duration length) const {
+duration hold_manager::longest(duration length) const {
     const double lagging = static_cast<double>(length.count()) * (1 + m_options.clock_drift);
     return duration(static_cast<duration::rep>(lagging)) + m_options.margin;
 }
 
-void hold_keeper::note_released(const lease_client::own_range &range, const std::string &handover) {
+void hold_manager::note_released(const lease_client::own_range &range,
+                                 const std::string &handover) {
     const auto known = m_released.find(range.record.first);
     if (known == m_released.end() || known->second.token != range.record.token) {
         m_released[range.record.first] = {range.record.token, handover};
@@ -109,13 +110,13 @@
     }
 }
 
-void hold_keeper::keep_released(const std::set<std::pair<std::uint64_t, fencing_token>> &moving) {
+void hold_manager::keep_released(const std::set<std::pair<std::uint64_t, fencing_token>> &moving) {
     std::erase_if(m_released, [&](const auto &entry) {
         return moving.count({entry.first, entry.second.token}) == 0;
     });
 }
 
-hold_grant hold_keeper::grant(const lease_client &lease, instant received, instant now) {
+hold_grant hold_manager::grant(const lease_client &lease, instant received, instant now) {
     m_given.clear();
     if (!lease.lease_valid(now)) {
         return {};
@@ -136,15 +137,15 @@
     return result;
 }
 
-void hold_keeper::reset() {
+void hold_manager::reset() {
     m_given.clear();
     m_until = {};
     m_released.clear();
     m_news = false;
 }
 
-hold_keeper::key_state hold_keeper::state_of(std::uint64_t hash, const lease_client &lease,
-                                             instant now) const {
+hold_manager::key_state hold_manager::state_of(std::uint64_t hash, const lease_client &lease,
+                                               instant now) const {
     const std::uint32_t key = ordered_key_at(hash);
     const bool given = std::any_of(m_given.begin(), m_given.end(), [key](const held_span &span) {
         return span.from <= key && key <= span.to;
@@ -155,8 +156,8 @@
     return awaited_state(hash, lease);
 }
 
-hold_keeper::key_state hold_keeper::awaited_state(std::uint64_t hash,
-                                                  const lease_client &lease) const {
+hold_manager::key_state hold_manager::awaited_state(std::uint64_t hash,
+                                                    const lease_client &lease) const {
     if (!lease.announcement() || lease.number() == no_target) {
         return key_state::not_owned;
     }
@@ -167,7 +168,7 @@
     return range->next == no_target ? key_state::expected : key_state::moving;
 }
 
-void hold_keeper::fill_report(renew_request &request, const lease_client &lease) const {
+void hold_manager::fill_report(renew_request &request, const lease_client &lease) const {
     if (!lease.announcement()) {
         return;
     }
--- a/src/transport/traffic/node_agent.cpp
+++ b/src/transport/traffic/node_agent.cpp
@@ -58,11 +58,11 @@
                                                           : std::nullopt;
 }
 
-hold_keeper::key_state node_agent::state_of(std::uint32_t key, instant now) const {
+hold_manager::key_state node_agent::state_of(std::uint32_t key, instant now) const {
     const std::uint64_t hash = ordered_key_hash(key);
     if (delivery() == hold_delivery::by_call && m_lease.lease_valid(now) &&
         m_caller.holds(key, now)) {
-        return hold_keeper::key_state::held;
+        return hold_manager::key_state::held;
     }
     return m_holds.state_of(hash, m_lease, now);
 }
@@ -559,12 +559,12 @@
         return error_kind::draining;
     }
     switch (state_of(*request.key, now)) {
-    case hold_keeper::key_state::held: return std::nullopt;
-    case hold_keeper::key_state::expected:
+    case hold_manager::key_state::held: return std::nullopt;
+    case hold_manager::key_state::expected:
         // An assumed target was given its keys by an earlier life of this node, and checks itself.
         return m_assumed ? std::nullopt : std::optional(error_kind::no_owner);
-    case hold_keeper::key_state::moving: return error_kind::moving;
-    case hold_keeper::key_state::not_owned: break;
+    case hold_manager::key_state::moving: return error_kind::moving;
+    case hold_manager::key_state::not_owned: break;
     }
     return error_kind::not_owner;
 }
--- a/tests/coordination/held_lease.hpp
+++ b/tests/coordination/held_lease.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peppertack/coordination/hold_keeper.hpp"
+#include "peppertack/coordination/hold_manager.hpp"
 #include "peppertack/coordination/lease_client.hpp"
 #include "peppertack/state/key_hash.hpp"
 
@@ -50,7 +50,7 @@
     }
 
     /// What the next renewal would report as released.
-    std::vector<range_report> released(const hold_keeper &keeper) const {
+    std::vector<range_report> released(const hold_manager &keeper) const {
         renew_request request;
         keeper.fill_report(request, client);
         return request.released;
--- a/tests/coordination/hold_caller_test.cpp
+++ b/tests/coordination/hold_call_scheduler_test.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/hold_caller.hpp"
+#include "peppertack/coordination/hold_call_scheduler.hpp"
 
 #include "held_lease.hpp"
 #include "hold_fuzz.hpp"
@@ -56,8 +56,8 @@
     }
 
     held_lease lease;
-    hold_keeper keeper{{}};
-    hold_caller caller{{.earlier_hold = 0ms}, keeper}; // what ran before is long over
+    hold_manager keeper{{}};
+    hold_call_scheduler caller{{.earlier_hold = 0ms}, keeper}; // what ran before is long over
 };
 
 } // namespace
@@ -79,7 +79,7 @@
     CHECK(node.caller.holds(500, start + 3ms));
     CHECK(node.due(start + 100ms).empty());
     // Two renewals may be lost: the third comes while the hold still runs.
-    CHECK(*length > 3 * hold_caller::options{}.renew_after);
+    CHECK(*length > 3 * hold_call_scheduler::options{}.renew_after);
     CHECK(node.due(start + 450ms).size() == 1);
 }
 
@@ -93,7 +93,7 @@
     const instant late = node.lease.client.lease_until() - 500ms;
     const auto length = node.caller.write(calls[0].id, node.lease.client, late);
     REQUIRE(length);
-    const auto answer_limit = hold_caller::options{}.answer_limit;
+    const auto answer_limit = hold_call_scheduler::options{}.answer_limit;
     CHECK(late + answer_limit + node.keeper.longest(*length) <= node.lease.client.lease_until());
     caller_fixture paused;
     const auto decided = paused.due(start);
@@ -143,7 +143,7 @@
     REQUIRE(renewal[0].span.from == 0);
     const auto length = node.caller.write(renewal[0].id, node.lease.client, start + 450ms);
     REQUIRE(length);
-    const instant given_up = start + 450ms + hold_caller::options{}.answer_limit;
+    const instant given_up = start + 450ms + hold_call_scheduler::options{}.answer_limit;
     REQUIRE(node.caller.overdue(given_up) == std::vector{renewal[0].id});
     node.caller.end(renewal[0].id, lost, given_up);
     node.lease.set_ranges(caller_fixture::ranges(other));
@@ -194,14 +194,14 @@
     const auto refused = node.due(start + 1200ms);
     REQUIRE(refused.size() == 1);
     node.caller.end(refused[0].id, {.result = hold_call_end::kind::token_refused}, start + 1200ms);
-    CHECK(node.caller.stuck(start + 1200ms + hold_caller::options{}.refused_limit));
+    CHECK(node.caller.stuck(start + 1200ms + hold_call_scheduler::options{}.refused_limit));
 }
 
 TEST_CASE("a node that was started again waits out what its earlier life may have granted") {
     held_lease lease(start);
     lease.set_ranges(caller_fixture::ranges(other));
-    hold_keeper keeper({});
-    hold_caller caller({}, keeper);
+    hold_manager keeper({});
+    hold_call_scheduler caller({}, keeper);
     const auto calls = caller.due(lease.client, start, start);
     REQUIRE(calls.at(0).what == hold_call::kind::release);
     REQUIRE(caller.write(calls[0].id, lease.client, start));
@@ -209,7 +209,7 @@
     lease.renew(start + 1s);
     (void)caller.due(lease.client, start + 1s, start + 1s);
     CHECK(lease.released(keeper).empty());
-    const instant over = start + hold_caller::options{}.earlier_hold;
+    const instant over = start + hold_call_scheduler::options{}.earlier_hold;
     lease.renew(over);
     (void)caller.due(lease.client, over, over);
     CHECK(lease.released(keeper).size() == 1);
--- a/tests/coordination/hold_fuzz.cpp
+++ b/tests/coordination/hold_fuzz.cpp
@@ -1,7 +1,7 @@
 #include "hold_fuzz.hpp"
 
 #include "held_lease.hpp"
-#include "peppertack/coordination/hold_caller.hpp"
+#include "peppertack/coordination/hold_call_scheduler.hpp"
 
 #include <algorithm>
 #include <array>
@@ -253,8 +253,8 @@
     std::mt19937_64 m_random;
     instant m_now{1000s};
     held_lease m_lease;
-    hold_keeper m_keeper{{}};
-    hold_caller m_caller{{.earlier_hold = 0ms}, m_keeper};
+    hold_manager m_keeper{{}};
+    hold_call_scheduler m_caller{{.earlier_hold = 0ms}, m_keeper};
     late_target m_target;
     std::array<range_record, range_count> m_ranges;
     fencing_token m_last_token = 0;
--- a/tests/coordination/hold_keeper_test.cpp
+++ b/tests/coordination/hold_manager_test.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/hold_keeper.hpp"
+#include "peppertack/coordination/hold_manager.hpp"
 
 #include "held_lease.hpp"
 #include "peppertack/state/key_hash.hpp"
@@ -31,8 +31,8 @@
 TEST_CASE("what a target holds ends before the node's lease does") {
     lease_fixture node;
     REQUIRE(node.lease.lease_valid(start + 20ms));
-    hold_keeper holds({});
-    CHECK(holds.state_of(key_50, node.lease, start + 20ms) == hold_keeper::key_state::expected);
+    hold_manager holds({});
+    CHECK(holds.state_of(key_50, node.lease, start + 20ms) == hold_manager::key_state::expected);
     const hold_grant grant = holds.grant(node.lease, start + 20ms, start + 20ms);
     REQUIRE(grant.renews);
     CHECK(grant.holds == std::vector<held_span>{{0, 99, 5, "from-before"}, {100, 65535, 6, ""}});
@@ -40,17 +40,17 @@
     const auto longest =
         duration(static_cast<duration::rep>(static_cast<double>(grant.length.count()) * 1.02));
     CHECK(start + 20ms + longest <= node.lease.lease_until());
-    CHECK(holds.state_of(key_50, node.lease, start + 20ms) == hold_keeper::key_state::held);
-    CHECK(holds.state_of(key_50, node.lease, start + 3s) != hold_keeper::key_state::held);
+    CHECK(holds.state_of(key_50, node.lease, start + 20ms) == hold_manager::key_state::held);
+    CHECK(holds.state_of(key_50, node.lease, start + 3s) != hold_manager::key_state::held);
     CHECK_FALSE(holds.grant(node.lease, start + 3s, start + 3s).renews);
 }
 
 TEST_CASE("a range that moves is left out, and reported once the target has let go of it") {
     lease_fixture node(9);
-    hold_keeper holds({});
+    hold_manager holds({});
     const hold_grant grant = holds.grant(node.lease, start + 20ms, start + 20ms);
     CHECK(grant.holds.size() == 1);
-    CHECK(holds.state_of(key_500, node.lease, start + 20ms) == hold_keeper::key_state::moving);
+    CHECK(holds.state_of(key_500, node.lease, start + 20ms) == hold_manager::key_state::moving);
 
     hold_report still{.holds = {{0, 99, 5, ""}, {100, 65535, 6, ""}}};
     holds.reset();
@@ -76,17 +76,17 @@
 
 TEST_CASE("nothing is held under a lease that has ended, or by another target") {
     lease_fixture node;
-    hold_keeper holds({});
+    hold_manager holds({});
     holds.grant(node.lease, start + 20ms, start + 20ms);
     holds.reset();
-    CHECK(holds.state_of(key_50, node.lease, start + 20ms) == hold_keeper::key_state::expected);
+    CHECK(holds.state_of(key_50, node.lease, start + 20ms) == hold_manager::key_state::expected);
     node.lease.give_up({start + 30ms, 0});
-    CHECK(holds.state_of(key_50, node.lease, start + 40ms) != hold_keeper::key_state::held);
+    CHECK(holds.state_of(key_50, node.lease, start + 40ms) != hold_manager::key_state::held);
 }
 
 TEST_CASE("an answer that waits does not shorten or lengthen what it grants") {
     lease_fixture node;
-    hold_keeper holds({});
+    hold_manager holds({});
     const hold_grant at_once = holds.grant(node.lease, start + 20ms, start + 20ms);
     const hold_grant waited = holds.grant(node.lease, start + 20ms, start + 420ms);
     CHECK(waited.length == at_once.length);
@@ -99,7 +99,7 @@
     // keys had no owner yet; they were granted a moment later. Cause: nothing said that any were to
     // come.
     held_lease node(start);
-    const hold_keeper holds({});
+    const hold_manager holds({});
     const auto with_owner = [&](target_number first, target_number second) {
         node.set_ranges({{.first = 0, .owner = first},
                          {.first = ordered_key_hash(100), .owner = second, .token = 6}});
