--- a/include/peppertack/coordination/hold_manager.hpp
+++ b/include/peppertack/coordination/hold_manager.hpp
@@ -23,18 +23,18 @@
 };
 
 /// Ordered keys that a target has released, and what it leaves to the next holder.
-struct freed_span {
+struct released_span {
     std::uint32_t from = 0;
     std::uint32_t to = 0;
     std::string handover;
 
-    friend bool operator==(const freed_span &, const freed_span &) = default;
+    friend bool operator==(const released_span &, const released_span &) = default;
 };
 
 /// What a target that keeps leases of its own says in a heartbeat.
 struct hold_report {
     std::vector<held_span> holds; ///< what it holds or is still working on
-    std::vector<freed_span> freed;
+    std::vector<released_span> freed;
 
     friend bool operator==(const hold_report &, const hold_report &) = default;
 };
@@ -103,8 +103,8 @@
     /// Adds ranges that the target has released to a renewal.
     void fill_report(renew_request &request, const lease_client &lease) const;
     /// Whether a range has been released that the leader should hear of at once.
-    bool has_news() const { return m_news; }
-    void news_sent() { m_news = false; }
+    bool has_unreported_release() const { return m_unreported_release; }
+    void mark_releases_reported() { m_unreported_release = false; }
 
 private:
     struct release {
@@ -119,7 +119,7 @@
     std::vector<held_span> m_given; ///< by the last answer, in order
     instant m_until{};
     std::map<std::uint64_t, release> m_released; ///< by the first hash of the range
-    bool m_news = false;
+    bool m_unreported_release = false;
 };
 
 } // namespace peppertack
--- a/src/coordination/hold_manager.cpp
+++ b/src/coordination/hold_manager.cpp
@@ -28,7 +28,7 @@
 std::string hold_manager::handover_of(const hold_report &report,
                                       const lease_client::own_range &range) const {
     const auto place =
-        std::find_if(report.freed.begin(), report.freed.end(), [&](const freed_span &span) {
+        std::find_if(report.freed.begin(), report.freed.end(), [&](const released_span &span) {
             return span.from <= first_key(range) && span.to >= first_key(range);
         });
     return place == report.freed.end() ? std::string() : place->handover;
@@ -59,7 +59,7 @@
             again && !known->second.handover.empty()
                 ? known->second
                 : release{range.record.token, handover_of(report, range)};
-        m_news = m_news || !again;
+        m_unreported_release = m_unreported_release || !again;
     }
     m_released = std::move(released);
 }
@@ -106,7 +106,7 @@
     const auto known = m_released.find(range.record.first);
     if (known == m_released.end() || known->second.token != range.record.token) {
         m_released[range.record.first] = {range.record.token, handover};
-        m_news = true;
+        m_unreported_release = true;
     }
 }
 
@@ -141,7 +141,7 @@
     m_given.clear();
     m_until = {};
     m_released.clear();
-    m_news = false;
+    m_unreported_release = false;
 }
 
 hold_manager::key_state hold_manager::state_of(std::uint64_t hash, const lease_client &lease,
--- a/src/transport/traffic/node_agent.cpp
+++ b/src/transport/traffic/node_agent.cpp
@@ -238,8 +238,8 @@
     }
     m_unanswered = std::move(answer);
     m_holds.note(beat.report, m_lease);
-    if (m_holds.has_news()) {
-        m_holds.news_sent();
+    if (m_holds.has_unreported_release()) {
+        m_holds.mark_releases_reported();
         m_lease.hurry();
     }
     m_heartbeat_at = at.now;
@@ -589,8 +589,8 @@
         return {};
     }
     std::vector<hold_call> calls = m_caller.due(m_lease, m_beat_at, now);
-    if (m_holds.has_news()) {
-        m_holds.news_sent();
+    if (m_holds.has_unreported_release()) {
+        m_holds.mark_releases_reported();
         m_lease.hurry();
     }
     return calls;
--- a/tests/coordination/hold_manager_test.cpp
+++ b/tests/coordination/hold_manager_test.cpp
@@ -58,11 +58,11 @@
     renew_request request;
     holds.fill_report(request, node.lease);
     CHECK(request.released.empty());
-    CHECK_FALSE(holds.has_news());
+    CHECK_FALSE(holds.has_unreported_release());
 
     hold_report let_go{.holds = {{0, 99, 5, ""}}, .freed = {{100, 65535, "what-it-knew"}}};
     holds.note(let_go, node.lease);
-    CHECK(holds.has_news());
+    CHECK(holds.has_unreported_release());
     holds.fill_report(request, node.lease);
     REQUIRE(request.released.size() == 1);
     CHECK(request.released[0] == range_report{"s", ordered_key_hash(100), 6, 9, "what-it-knew"});
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -154,7 +154,7 @@
     CHECK(beat->draining);
     CHECK(beat->cold_left == 1500ms);
     CHECK(beat->report.holds == std::vector<held_span>{{0, 99, 7, ""}});
-    CHECK(beat->report.freed == std::vector<freed_span>{{100, 199, "h"}});
+    CHECK(beat->report.freed == std::vector<released_span>{{100, 199, "h"}});
     for (const char *bad : {"", "{}", "[]", R"({"address":1,"info":{},"status":{}})"}) {
         CHECK_FALSE(read_heartbeat("i-1", bad, reason));
     }
