--- a/include/peppertack/coordination/lease_client.hpp
+++ b/include/peppertack/coordination/lease_client.hpp
@@ -43,7 +43,7 @@
     change receive(const map_update &update);
     void tick(moment at, const fill_report &fill, std::vector<outgoing> &messages);
     /// Renew with the next tick; something is to be reported or learnt.
-    void hurry() { m_renew_at = {}; }
+    void renew_at_next_tick() { m_renew_at = {}; }
 
     bool lease_valid(instant now) const { return m_number != no_target && now < m_lease_until; }
     instant lease_until() const { return m_lease_until; }
--- a/src/coordination/lease_client.cpp
+++ b/src/coordination/lease_client.cpp
@@ -73,7 +73,7 @@
         m_retired = false;
     }
     if (!m_announcement || *m_announcement != announcement) {
-        hurry();
+        renew_at_next_tick();
     }
     m_announcement = announcement;
     m_announced_at = at.now;
@@ -86,7 +86,7 @@
     }
     m_giving_up = true;
     m_lease_until = {};
-    hurry();
+    renew_at_next_tick();
 }
 
 bool lease_client::registered(const std::string &name, const std::string &service) const {
@@ -125,7 +125,7 @@
         m_relay_until = at.now + relay_time;
         next_voter({}, at.now);
         m_waiting = false;
-        hurry();
+        renew_at_next_tick();
     }
     if (at.now >= m_renew_at && m_sent_last + least_interval <= at.now) {
         send(at, fill, messages);
@@ -183,7 +183,7 @@
     }
     if (hinted != m_voters.end()) {
         m_voter = static_cast<std::size_t>(std::distance(m_voters.begin(), hinted));
-        hurry();
+        renew_at_next_tick();
         return;
     }
     m_voter = (m_voter + 1) % m_voters.size();
@@ -233,7 +233,7 @@
     if (renewal.number == m_number && reply.registration_lost && m_number != no_target) {
         end_registration();
         changed.registration = true;
-        hurry();
+        renew_at_next_tick();
     } else if (m_number == no_target && reply.number != no_target && !m_giving_up &&
                renewal.number == no_target && announces(renewal.name, renewal.service)) {
         // An answer that was overtaken by another target's announcement brings the number of the
@@ -285,7 +285,7 @@
     m_table = std::move(*next);
     m_table_version = reply.table_version;
     changed.table = true;
-    hurry(); // no lease is granted until the table in force is reported back
+    renew_at_next_tick(); // no lease is granted until the table in force is reported back
 }
 
 void lease_client::take_routes(const renew_reply &reply, change &changed) {
@@ -302,7 +302,7 @@
     }
     m_routes = std::move(*next);
     changed.routes = true;
-    hurry(); // as with the table
+    renew_at_next_tick(); // as with the table
 }
 
 std::vector<lease_client::own_range> lease_client::own_ranges() const {
--- a/src/coordination/node_core.cpp
+++ b/src/coordination/node_core.cpp
@@ -85,7 +85,7 @@
 void node_core::begin_stop(moment) {
     m_lease.begin_stop();
     m_stop_begun = true;
-    m_lease.hurry();
+    m_lease.renew_at_next_tick();
 }
 
 bool node_core::stopped() const {
--- a/src/coordination/range_owner.cpp
+++ b/src/coordination/range_owner.cpp
@@ -521,7 +521,7 @@
         if (answers) {
             state.step = release_step::released;
             ++m_counters.ranges_released;
-            m_lease.hurry();
+            m_lease.renew_at_next_tick();
         }
     }
 }
@@ -546,7 +546,7 @@
             const auto found = m_recalls.find(waiter.id);
             if (found != m_recalls.end() && found->second.step == recall_step::storing) {
                 found->second.step = recall_step::done;
-                m_lease.hurry();
+                m_lease.renew_at_next_tick();
             }
         }
     }
@@ -588,7 +588,7 @@
     state.step = recall_step::storing;
     if (!m_standby.add_all(keys, {standby_waiter::kind::restored, first})) {
         state.step = recall_step::done;
-        m_lease.hurry();
+        m_lease.renew_at_next_tick();
     }
     m_standby.step(m_memory, at.now, m_effects.messages);
 }
@@ -835,7 +835,7 @@
 
 void range_owner::tick(moment at) {
     if (m_crashes.urgent(at.now)) {
-        m_lease.hurry();
+        m_lease.renew_at_next_tick();
     }
     if (m_number != no_target && !m_lease.lease_valid(at.now) && !m_served.empty()) {
         // Whatever is written now could meet another owner's work.
--- a/src/transport/traffic/node_agent.cpp
+++ b/src/transport/traffic/node_agent.cpp
@@ -143,7 +143,7 @@
         }
     }
     if (m_crashes.urgent(at.now)) {
-        m_lease.hurry();
+        m_lease.renew_at_next_tick();
     }
     std::vector<outgoing> messages;
     m_lease.tick(
@@ -240,7 +240,7 @@
     m_holds.note(beat.report, m_lease);
     if (m_holds.has_unreported_release()) {
         m_holds.mark_releases_reported();
-        m_lease.hurry();
+        m_lease.renew_at_next_tick();
     }
     m_heartbeat_at = at.now;
     answer_heartbeat_if_due(at.now);
@@ -591,7 +591,7 @@
     std::vector<hold_call> calls = m_caller.due(m_lease, m_beat_at, now);
     if (m_holds.has_unreported_release()) {
         m_holds.mark_releases_reported();
-        m_lease.hurry();
+        m_lease.renew_at_next_tick();
     }
     return calls;
 }
--- a/tests/coordination/held_lease.hpp
+++ b/tests/coordination/held_lease.hpp
@@ -24,7 +24,7 @@
     /// A renewal that is answered at once.
     void renew(instant now) {
         std::vector<outgoing> sent;
-        client.hurry();
+        client.renew_at_next_tick();
         client.tick(
             {now, 0}, [](renew_request &, instant) {}, sent);
         if (sent.empty()) {
