--- a/include/peppertack/coordination/hold_call_scheduler.hpp
+++ b/include/peppertack/coordination/hold_call_scheduler.hpp
@@ -50,44 +50,44 @@
     struct options {
         /// Longest hold of one grant. Keys of a target that fell silent, or whose grant got no
         /// answer, wait for its end; three renewals fit into it.
-        duration most_hold = std::chrono::milliseconds(1500);
+        duration max_hold = std::chrono::milliseconds(1500);
         /// With two renewals lost in a row the third still comes before the hold ends.
         duration renew_after = std::chrono::milliseconds(400);
         /// A target on the same instance answers a grant within a few ms; later than this
         /// after the write the call is given up. Its bytes have arrived long before.
-        duration answer_limit = std::chrono::milliseconds(250);
-        duration retry_pause =
+        duration answer_timeout = std::chrono::milliseconds(250);
+        duration retry_delay =
             std::chrono::milliseconds(50); ///< between a failed call and the next
         /// A grant out for so long no longer keeps the next one from being sent.
         duration stuck_after = std::chrono::milliseconds(10);
         /// Connections that unanswered grants may take at a time. A target that answers none has 25
         /// spans renewed within 0.3 s by it, a third of a hold; with 8 it took 0.8 s, and keys were
         /// unserved in between.
-        std::size_t most_stuck = 24;
+        std::size_t max_stuck_grants = 24;
         /// A target that sends no heartbeat for so long, and leaves a grant unanswered, gets no
         /// further ones: each would keep its keys from others for longer.
-        duration sign_of_life = std::chrono::seconds(1);
+        duration heartbeat_timeout = std::chrono::seconds(1);
         /// A hold shorter than this is over before requests for it arrive.
-        duration least_hold = std::chrono::milliseconds(50);
+        duration min_hold = std::chrono::milliseconds(50);
         /// A refused token that no newer map replaces for so long is not going to be replaced.
-        duration refused_limit = std::chrono::seconds(2);
+        duration refusal_timeout = std::chrono::seconds(2);
         /// Longest hold that an earlier life of this process may have granted before it ended.
-        duration earlier_hold = std::chrono::seconds(2);
+        duration previous_process_hold = std::chrono::seconds(2);
     };
 
     /// `keeper` outlives this and is told of released ranges.
     hold_call_scheduler(options settings, hold_manager &keeper)
         : m_options(settings), m_keeper(keeper) {}
 
-    /// Calls to be made now. `alive_at`: when the target last sent a heartbeat.
-    std::vector<hold_call> due(const lease_client &lease, instant alive_at, instant now);
+    /// Calls to be made now. `last_heartbeat`: when the target last sent a heartbeat.
+    std::vector<hold_call> due(const lease_client &lease, instant last_heartbeat, instant now);
     /// Call it directly before the bytes of a call are written: yields how long the hold may run,
     /// or nothing if the call must not be made any more. A length worked out earlier would let the
     /// hold outlast the lease if the process was paused in between.
     std::optional<duration> write(std::uint64_t id, const lease_client &lease, instant now);
     void end(std::uint64_t id, const hold_call_end &how, instant now);
     /// Whether the end of a call is still of interest; if not it may be cancelled.
-    bool waits_for(std::uint64_t id) const { return m_in_flight.count(id) != 0; }
+    bool is_in_flight(std::uint64_t id) const { return m_in_flight.count(id) != 0; }
     /// Grants that have been out for too long: they are to be cancelled and ended as `lost`.
     std::vector<std::uint64_t> overdue(instant now) const;
 
@@ -140,7 +140,7 @@
     };
 
     void take_wanted(const lease_client &lease);
-    void add_grants(std::vector<hold_call> &calls, instant alive_at, instant now);
+    void add_grants(std::vector<hold_call> &calls, instant last_heartbeat, instant now);
     void add_releases(std::vector<hold_call> &calls, const lease_client &lease, instant now);
     hold_call begin(hold_call::kind what, const held_span &span, instant now);
     void end_grant(const pending &item, const hold_call_end &how, instant now);
--- a/src/coordination/hold_call_scheduler.cpp
+++ b/src/coordination/hold_call_scheduler.cpp
@@ -15,17 +15,17 @@
 
 } // namespace
 
-std::vector<hold_call> hold_call_scheduler::due(const lease_client &lease, instant alive_at,
+std::vector<hold_call> hold_call_scheduler::due(const lease_client &lease, instant last_heartbeat,
                                                 instant now) {
     if (m_earlier_until == instant{}) {
-        m_earlier_until = now + m_options.earlier_hold;
+        m_earlier_until = now + m_options.previous_process_hold;
     }
     forget_ended(now);
     take_wanted(lease);
     std::vector<hold_call> calls;
     add_releases(calls, lease, now);
     if (lease.lease_valid(now)) {
-        add_grants(calls, alive_at, now);
+        add_grants(calls, last_heartbeat, now);
     }
     return calls;
 }
@@ -43,8 +43,9 @@
     m_wanted = std::move(next);
 }
 
-void hold_call_scheduler::add_grants(std::vector<hold_call> &calls, instant alive_at, instant now) {
-    const bool silent = m_lost_row > 0 && alive_at + m_options.sign_of_life < now;
+void hold_call_scheduler::add_grants(std::vector<hold_call> &calls, instant last_heartbeat,
+                                     instant now) {
+    const bool silent = m_lost_row > 0 && last_heartbeat + m_options.heartbeat_timeout < now;
     if (silent || stuck(now)) {
         return;
     }
@@ -57,7 +58,7 @@
             ++stuck;
         }
     }
-    if (stuck >= m_options.most_stuck) {
+    if (stuck >= m_options.max_stuck_grants) {
         return;
     }
     wanted *first = nullptr;
@@ -138,8 +139,8 @@
     const instant from = g_defects.hold_from_decision ? item.begun : now;
     // Without an answer the hold counts from the end of the wait for one.
     const duration length =
-        std::min(m_keeper.length(lease, from + m_options.answer_limit, from), m_options.most_hold);
-    if (length < m_options.least_hold) {
+        std::min(m_keeper.length(lease, from + m_options.answer_timeout, from), m_options.max_hold);
+    if (length < m_options.min_hold) {
         return std::nullopt;
     }
     item.written = now;
@@ -152,7 +153,7 @@
     std::vector<std::uint64_t> result;
     for (const auto &[id, item] : m_in_flight) {
         const bool grant = item.call.what == hold_call::kind::grant;
-        if (grant && item.written.value_or(item.begun) + m_options.answer_limit <= now) {
+        if (grant && item.written.value_or(item.begun) + m_options.answer_timeout <= now) {
             result.push_back(id);
         }
     }
@@ -198,7 +199,7 @@
         // another token, or takes the keys away.
         target->refused_since = now;
     } else {
-        target->renew_at = now + m_options.retry_pause;
+        target->renew_at = now + m_options.retry_delay;
     }
 }
 
@@ -217,7 +218,7 @@
         known->second.handover = how.handover;
         clear_answered(item.call.span.from, item.call.span.to, item.written.value_or(item.begun));
     } else {
-        known->second.retry_at = now + m_options.retry_pause;
+        known->second.retry_at = now + m_options.retry_delay;
     }
 }
 
@@ -275,7 +276,7 @@
     }
     for (const auto &[id, item] : m_in_flight) {
         if (item.written && item.call.what == hold_call::kind::grant) {
-            last = std::max(last, *item.written + m_options.answer_limit + longest(item.length));
+            last = std::max(last, *item.written + m_options.answer_timeout + longest(item.length));
         }
     }
     return last;
@@ -287,7 +288,7 @@
     }
     for (auto &[first, item] : m_wanted) {
         if (item.span.from <= key && key <= item.span.to) {
-            item.renew_at = std::min(item.renew_at, now + m_options.retry_pause);
+            item.renew_at = std::min(item.renew_at, now + m_options.retry_delay);
         }
     }
 }
@@ -303,7 +304,7 @@
 bool hold_call_scheduler::stuck(instant now) const {
     return std::any_of(m_wanted.begin(), m_wanted.end(), [&](const auto &entry) {
         const auto &since = entry.second.refused_since;
-        return since && *since + m_options.refused_limit <= now;
+        return since && *since + m_options.refusal_timeout <= now;
     });
 }
 
--- a/tests/coordination/hold_call_scheduler_test.cpp
+++ b/tests/coordination/hold_call_scheduler_test.cpp
@@ -57,7 +57,8 @@
 
     held_lease lease;
     hold_manager keeper{{}};
-    hold_call_scheduler caller{{.earlier_hold = 0ms}, keeper}; // what ran before is long over
+    hold_call_scheduler caller{{.previous_process_hold = 0ms},
+                               keeper}; // what ran before is long over
 };
 
 } // namespace
@@ -93,8 +94,8 @@
     const instant late = node.lease.client.lease_until() - 500ms;
     const auto length = node.caller.write(calls[0].id, node.lease.client, late);
     REQUIRE(length);
-    const auto answer_limit = hold_call_scheduler::options{}.answer_limit;
-    CHECK(late + answer_limit + node.keeper.longest(*length) <= node.lease.client.lease_until());
+    const auto answer_timeout = hold_call_scheduler::options{}.answer_timeout;
+    CHECK(late + answer_timeout + node.keeper.longest(*length) <= node.lease.client.lease_until());
     caller_fixture paused;
     const auto decided = paused.due(start);
     CHECK_FALSE(paused.caller.write(decided.at(0).id, paused.lease.client, start + 10s));
@@ -143,7 +144,7 @@
     REQUIRE(renewal[0].span.from == 0);
     const auto length = node.caller.write(renewal[0].id, node.lease.client, start + 450ms);
     REQUIRE(length);
-    const instant given_up = start + 450ms + hold_call_scheduler::options{}.answer_limit;
+    const instant given_up = start + 450ms + hold_call_scheduler::options{}.answer_timeout;
     REQUIRE(node.caller.overdue(given_up) == std::vector{renewal[0].id});
     node.caller.end(renewal[0].id, lost, given_up);
     node.lease.set_ranges(caller_fixture::ranges(other));
@@ -194,7 +195,7 @@
     const auto refused = node.due(start + 1200ms);
     REQUIRE(refused.size() == 1);
     node.caller.end(refused[0].id, {.result = hold_call_end::kind::token_refused}, start + 1200ms);
-    CHECK(node.caller.stuck(start + 1200ms + hold_call_scheduler::options{}.refused_limit));
+    CHECK(node.caller.stuck(start + 1200ms + hold_call_scheduler::options{}.refusal_timeout));
 }
 
 TEST_CASE("a node that was started again waits out what its earlier life may have granted") {
@@ -209,7 +210,7 @@
     lease.renew(start + 1s);
     (void)caller.due(lease.client, start + 1s, start + 1s);
     CHECK(lease.released(keeper).empty());
-    const instant over = start + hold_call_scheduler::options{}.earlier_hold;
+    const instant over = start + hold_call_scheduler::options{}.previous_process_hold;
     lease.renew(over);
     (void)caller.due(lease.client, over, over);
     CHECK(lease.released(keeper).size() == 1);
--- a/tests/coordination/hold_fuzz.cpp
+++ b/tests/coordination/hold_fuzz.cpp
@@ -129,7 +129,7 @@
             m_sent.erase(id);
             m_caller.end(id, {.result = hold_call_end::kind::lost}, m_now);
         }
-        std::erase_if(m_sent, [&](const auto &item) { return !m_caller.waits_for(item.first); });
+        std::erase_if(m_sent, [&](const auto &item) { return !m_caller.is_in_flight(item.first); });
         write_calls();
         end_calls();
         for (const hold_call &call : m_caller.due(m_lease.client, m_now, m_now)) {
@@ -254,7 +254,7 @@
     instant m_now{1000s};
     held_lease m_lease;
     hold_manager m_keeper{{}};
-    hold_call_scheduler m_caller{{.earlier_hold = 0ms}, m_keeper};
+    hold_call_scheduler m_caller{{.previous_process_hold = 0ms}, m_keeper};
     late_target m_target;
     std::array<range_record, range_count> m_ranges;
     fencing_token m_last_token = 0;
