--- a/include/peppertack/coordination/hold_call_scheduler.hpp
+++ b/include/peppertack/coordination/hold_call_scheduler.hpp
@@ -149,7 +149,7 @@
     bool free(std::uint32_t from, std::uint32_t to, instant now) const;
     bool grant_in_flight(std::uint32_t from, std::uint32_t to) const;
     void forget_ended(instant now);
-    duration longest(duration length) const;
+    duration max_real_length(duration length) const;
 
     options m_options;
     hold_manager &m_keeper;
--- a/include/peppertack/coordination/hold_manager.hpp
+++ b/include/peppertack/coordination/hold_manager.hpp
@@ -55,7 +55,7 @@
 class hold_manager {
 public:
     struct options {
-        duration most_hold = std::chrono::seconds(10); ///< longest hold that a target takes
+        duration max_hold = std::chrono::seconds(10); ///< longest hold that a target takes
         /// Rate by which a target's clock may lag behind: it would hold on for that much longer.
         double clock_drift = 0.02;
         /// Taken off each hold: the way of the answer, and a timer that fires late.
@@ -79,7 +79,7 @@
     /// ends before the lease does. Zero or less if it can't.
     duration length(const lease_client &lease, instant counted_from, instant now) const;
     /// How long a hold of `length` runs by a clock that lags as far as is allowed.
-    duration longest(duration length) const;
+    duration max_real_length(duration length) const;
     /// What the target is to hold: its ranges that don't move, neighbours under one token as one.
     static std::vector<held_span> wanted_spans(const lease_client &lease);
     static held_span span_of(const lease_client::own_range &range);
--- a/include/peppertack/transport/traffic/node_agent.hpp
+++ b/include/peppertack/transport/traffic/node_agent.hpp
@@ -136,7 +136,7 @@
     std::vector<std::uint64_t> overdue_hold_calls(instant now) const {
         return m_caller.overdue(now);
     }
-    bool waits_for_hold_call(std::uint64_t id) const { return m_caller.waits_for(id); }
+    bool waits_for_hold_call(std::uint64_t id) const { return m_caller.is_in_flight(id); }
     std::optional<duration> hold_call_written(std::uint64_t id, instant now) {
         return m_caller.write(id, m_lease, now);
     }
--- a/src/coordination/hold_call_scheduler.cpp
+++ b/src/coordination/hold_call_scheduler.cpp
@@ -186,7 +186,7 @@
                              .written = *item.written,
                              .answered = done,
                              .sure_until = *item.written + item.length,
-                             .ends = now + longest(item.length)});
+                             .ends = now + max_real_length(item.length)});
     }
     m_lost_row = how.result == hold_call_end::kind::lost ? m_lost_row + 1 : 0;
     if (target == nullptr) {
@@ -276,7 +276,8 @@
     }
     for (const auto &[id, item] : m_in_flight) {
         if (item.written && item.call.what == hold_call::kind::grant) {
-            last = std::max(last, *item.written + m_options.answer_timeout + longest(item.length));
+            last = std::max(last, *item.written + m_options.answer_timeout +
+                                      max_real_length(item.length));
         }
     }
     return last;
@@ -313,8 +314,8 @@
 }
 
 /// How long a hold may run by a clock that lags.
-duration hold_call_scheduler::longest(duration length) const {
-    return m_keeper.longest(length);
+duration hold_call_scheduler::max_real_length(duration length) const {
+    return m_keeper.max_real_length(length);
 }
 
 } // namespace peppertack
--- a/src/coordination/hold_manager.cpp
+++ b/src/coordination/hold_manager.cpp
@@ -93,10 +93,10 @@
     }
     const auto left = static_cast<double>((lease.lease_until() - counted_from).count());
     const duration all(static_cast<duration::rep>(left / (1 + m_options.clock_drift)));
-    return std::min(all - m_options.margin, m_options.most_hold);
+    return std::min(all - m_options.margin, m_options.max_hold);
 }
 
-duration hold_manager::longest(duration length) const {
+duration hold_manager::max_real_length(duration length) const {
     const double lagging = static_cast<double>(length.count()) * (1 + m_options.clock_drift);
     return duration(static_cast<duration::rep>(lagging)) + m_options.margin;
 }
--- a/tests/coordination/hold_call_scheduler_test.cpp
+++ b/tests/coordination/hold_call_scheduler_test.cpp
@@ -95,7 +95,8 @@
     const auto length = node.caller.write(calls[0].id, node.lease.client, late);
     REQUIRE(length);
     const auto answer_timeout = hold_call_scheduler::options{}.answer_timeout;
-    CHECK(late + answer_timeout + node.keeper.longest(*length) <= node.lease.client.lease_until());
+    CHECK(late + answer_timeout + node.keeper.max_real_length(*length) <=
+          node.lease.client.lease_until());
     caller_fixture paused;
     const auto decided = paused.due(start);
     CHECK_FALSE(paused.caller.write(decided.at(0).id, paused.lease.client, start + 10s));
@@ -151,7 +152,7 @@
     const auto calls = node.due(given_up + 1ms);
     REQUIRE(calls.at(0).what == hold_call::kind::release);
     node.carry_out(calls[0], given_up + 1ms, done, given_up + 2ms);
-    const instant ends = given_up + node.keeper.longest(*length);
+    const instant ends = given_up + node.keeper.max_real_length(*length);
     (void)node.due(ends - 1ms);
     CHECK(node.lease.released(node.keeper).empty());
     (void)node.due(ends);
--- a/tests/coordination/hold_fuzz.cpp
+++ b/tests/coordination/hold_fuzz.cpp
@@ -35,9 +35,9 @@
     };
 
     void grant(const held_span &span, duration length, instant arrived, instant carried_out) {
-        const auto longest = duration(
+        const auto max_real_length = duration(
             static_cast<duration::rep>(static_cast<double>(length.count()) * slowest_clock));
-        m_late.push_back({carried_out, {span.from, span.to, arrived + longest}});
+        m_late.push_back({carried_out, {span.from, span.to, arrived + max_real_length}});
     }
     /// New work stops; what runs ends at `work_until`.
     void release(const held_span &span, instant work_until) {
--- a/tests/coordination/hold_manager_test.cpp
+++ b/tests/coordination/hold_manager_test.cpp
@@ -37,9 +37,9 @@
     REQUIRE(grant.renews);
     CHECK(grant.holds == std::vector<held_span>{{0, 99, 5, "from-before"}, {100, 65535, 6, ""}});
     // A clock that runs two parts in a hundred slow holds on longer.
-    const auto longest =
+    const auto max_real_length =
         duration(static_cast<duration::rep>(static_cast<double>(grant.length.count()) * 1.02));
-    CHECK(start + 20ms + longest <= node.lease.lease_until());
+    CHECK(start + 20ms + max_real_length <= node.lease.lease_until());
     CHECK(holds.state_of(key_50, node.lease, start + 20ms) == hold_manager::key_state::held);
     CHECK(holds.state_of(key_50, node.lease, start + 3s) != hold_manager::key_state::held);
     CHECK_FALSE(holds.grant(node.lease, start + 3s, start + 3s).renews);
