--- a/include/peppertack/coordination/hold_call_scheduler.hpp
+++ b/include/peppertack/coordination/hold_call_scheduler.hpp
@@ -75,9 +75,9 @@
         duration previous_process_hold = std::chrono::seconds(2);
     };
 
-    /// `keeper` outlives this and is told of released ranges.
-    hold_call_scheduler(options settings, hold_manager &keeper)
-        : m_options(settings), m_keeper(keeper) {}
+    /// `manager` outlives this and is told of released ranges.
+    hold_call_scheduler(options settings, hold_manager &manager)
+        : m_options(settings), m_manager(manager) {}
 
     /// Calls to be made now. `last_heartbeat`: when the target last sent a heartbeat.
     std::vector<hold_call> due(const lease_client &lease, instant last_heartbeat, instant now);
@@ -102,7 +102,7 @@
     /// Another target, or none, or its next life: nothing of before counts.
     void reset();
     /// Grants refused for a higher token for so long that only new tokens help.
-    bool stuck(instant now) const;
+    bool token_rejected(instant now) const;
 
 private:
     using span_key = std::pair<std::uint32_t, fencing_token>; ///< first key and token
@@ -128,8 +128,8 @@
     struct wanted {
         held_span span;
         instant renew_at{};
-        bool given = false;                   ///< a grant was answered
-        std::optional<instant> refused_since; ///< its token is too low by the target's word
+        bool was_granted = false;                   ///< a grant was answered
+        std::optional<instant> token_refused_since; ///< its token is too low by the target's word
     };
     /// A range that is to be let go of.
     struct releasing {
@@ -139,28 +139,30 @@
         std::string handover;
     };
 
-    void take_wanted(const lease_client &lease);
+    void update_wanted(const lease_client &lease);
     void add_grants(std::vector<hold_call> &calls, instant last_heartbeat, instant now);
     void add_releases(std::vector<hold_call> &calls, const lease_client &lease, instant now);
     hold_call begin(hold_call::kind what, const held_span &span, instant now);
     void end_grant(const pending &item, const hold_call_end &how, instant now);
     void end_release(const pending &item, const hold_call_end &how, instant now);
-    void clear_answered(std::uint32_t from, std::uint32_t to, instant before);
+    void clear_settled_grants(std::uint32_t from, std::uint32_t to, instant before);
     bool free(std::uint32_t from, std::uint32_t to, instant now) const;
     bool grant_in_flight(std::uint32_t from, std::uint32_t to) const;
-    void forget_ended(instant now);
+    void drop_ended_grants(instant now);
     duration max_real_length(duration length) const;
 
     options m_options;
-    hold_manager &m_keeper;
+    hold_manager &m_manager;
     std::uint64_t m_last_id = 0;
     std::map<std::uint64_t, pending> m_in_flight; ///< by call
     std::vector<granted> m_granted;
     std::map<span_key, wanted> m_wanted;
     std::map<std::pair<std::uint64_t, fencing_token>, releasing>
-        m_releasing;              ///< by first hash and token of the range
-    instant m_earlier_until{};    ///< until then an earlier life's grants may run; zero: not begun
-    std::uint32_t m_lost_row = 0; ///< grants without an answer since the last that had one
+        m_releasing;                    ///< by first hash and token of the range
+    instant m_previous_process_until{}; ///< until then an earlier life's grants may run; zero: not
+                                        ///< begun
+    std::uint32_t m_consecutive_lost_grants =
+        0; ///< grants without an answer since the last that had one
 };
 
 } // namespace peppertack
--- a/src/coordination/hold_call_scheduler.cpp
+++ b/src/coordination/hold_call_scheduler.cpp
@@ -17,11 +17,11 @@
 
 std::vector<hold_call> hold_call_scheduler::due(const lease_client &lease, instant last_heartbeat,
                                                 instant now) {
-    if (m_earlier_until == instant{}) {
-        m_earlier_until = now + m_options.previous_process_hold;
+    if (m_previous_process_until == instant{}) {
+        m_previous_process_until = now + m_options.previous_process_hold;
     }
-    forget_ended(now);
-    take_wanted(lease);
+    drop_ended_grants(now);
+    update_wanted(lease);
     std::vector<hold_call> calls;
     add_releases(calls, lease, now);
     if (lease.lease_valid(now)) {
@@ -32,7 +32,7 @@
 
 /// Follows the map. A span that was cut, joined or moved is another one; what was granted for the
 /// old one stays in `m_granted`.
-void hold_call_scheduler::take_wanted(const lease_client &lease) {
+void hold_call_scheduler::update_wanted(const lease_client &lease) {
     std::map<span_key, wanted> next;
     for (const held_span &span : hold_manager::wanted_spans(lease)) {
         const span_key key{span.from, span.token};
@@ -45,29 +45,30 @@
 
 void hold_call_scheduler::add_grants(std::vector<hold_call> &calls, instant last_heartbeat,
                                      instant now) {
-    const bool silent = m_lost_row > 0 && last_heartbeat + m_options.heartbeat_timeout < now;
-    if (silent || stuck(now)) {
+    const bool silent =
+        m_consecutive_lost_grants > 0 && last_heartbeat + m_options.heartbeat_timeout < now;
+    if (silent || token_rejected(now)) {
         return;
     }
-    std::size_t stuck = 0;
+    std::size_t unanswered = 0;
     for (const auto &[id, item] : m_in_flight) {
         if (item.call.what == hold_call::kind::grant) {
             if (now < item.begun + m_options.stuck_after) {
                 return; // one at a time: they share a connection
             }
-            ++stuck;
+            ++unanswered;
         }
     }
-    if (stuck >= m_options.max_stuck_grants) {
+    if (unanswered >= m_options.max_stuck_grants) {
         return;
     }
     wanted *first = nullptr;
     for (auto &[key, item] : m_wanted) {
-        const bool ready = item.renew_at <= now && !item.refused_since &&
+        const bool ready = item.renew_at <= now && !item.token_refused_since &&
                            !grant_in_flight(item.span.from, item.span.to);
         // Keys that nobody serves go before those that are only renewed.
-        if (ready && (first == nullptr || std::pair(item.given, item.renew_at) <
-                                              std::pair(first->given, first->renew_at))) {
+        if (ready && (first == nullptr || std::pair(item.was_granted, item.renew_at) <
+                                              std::pair(first->was_granted, first->renew_at))) {
             first = &item;
         }
     }
@@ -90,7 +91,7 @@
         }
         const held_span span = hold_manager::span_of(range);
         if (free(span.from, span.to, now)) {
-            m_keeper.note_released(range, item.handover);
+            m_manager.note_released(range, item.handover);
             continue;
         }
         // A grant whose answer is awaited may reach the target after the release.
@@ -111,7 +112,7 @@
     for (const auto &[key, item] : current) {
         moving.insert(key);
     }
-    m_keeper.keep_released(moving);
+    m_manager.keep_released(moving);
     m_releasing = std::move(current);
 }
 
@@ -138,8 +139,8 @@
     }
     const instant from = g_defects.hold_from_decision ? item.begun : now;
     // Without an answer the hold counts from the end of the wait for one.
-    const duration length =
-        std::min(m_keeper.length(lease, from + m_options.answer_timeout, from), m_options.max_hold);
+    const duration length = std::min(m_manager.length(lease, from + m_options.answer_timeout, from),
+                                     m_options.max_hold);
     if (length < m_options.min_hold) {
         return std::nullopt;
     }
@@ -188,16 +189,17 @@
                              .sure_until = *item.written + item.length,
                              .ends = now + max_real_length(item.length)});
     }
-    m_lost_row = how.result == hold_call_end::kind::lost ? m_lost_row + 1 : 0;
+    m_consecutive_lost_grants =
+        how.result == hold_call_end::kind::lost ? m_consecutive_lost_grants + 1 : 0;
     if (target == nullptr) {
         return;
     }
     if (done) {
-        target->given = true;
+        target->was_granted = true;
     } else if (how.result == hold_call_end::kind::token_refused) {
         // The same token would be refused again. What is believed here is old: the next map brings
         // another token, or takes the keys away.
-        target->refused_since = now;
+        target->token_refused_since = now;
     } else {
         target->renew_at = now + m_options.retry_delay;
     }
@@ -216,14 +218,16 @@
     if (how.result == hold_call_end::kind::done || timeout_counts) {
         known->second.answered = true;
         known->second.handover = how.handover;
-        clear_answered(item.call.span.from, item.call.span.to, item.written.value_or(item.begun));
+        clear_settled_grants(item.call.span.from, item.call.span.to,
+                             item.written.value_or(item.begun));
     } else {
         known->second.retry_at = now + m_options.retry_delay;
     }
 }
 
 /// A release that was answered ends what was granted, and answered, before it was written.
-void hold_call_scheduler::clear_answered(std::uint32_t from, std::uint32_t to, instant before) {
+void hold_call_scheduler::clear_settled_grants(std::uint32_t from, std::uint32_t to,
+                                               instant before) {
     std::vector<granted> left;
     for (const granted &item : m_granted) {
         const bool settled =
@@ -251,8 +255,8 @@
         std::any_of(m_granted.begin(), m_granted.end(), [&](const granted &item) {
             return item.from <= to && from <= item.to && now < item.ends;
         });
-    return !granted_still && !grant_in_flight(from, to) && m_earlier_until <= now &&
-           m_keeper.held_until() <= now;
+    return !granted_still && !grant_in_flight(from, to) && m_previous_process_until <= now &&
+           m_manager.held_until() <= now;
 }
 
 bool hold_call_scheduler::grant_in_flight(std::uint32_t from, std::uint32_t to) const {
@@ -270,7 +274,7 @@
 }
 
 instant hold_call_scheduler::may_hold_until() const {
-    instant last = m_earlier_until;
+    instant last = m_previous_process_until;
     for (const granted &item : m_granted) {
         last = std::max(last, item.ends);
     }
@@ -299,23 +303,23 @@
     m_granted.clear();
     m_wanted.clear();
     m_releasing.clear();
-    m_lost_row = 0;
+    m_consecutive_lost_grants = 0;
 }
 
-bool hold_call_scheduler::stuck(instant now) const {
+bool hold_call_scheduler::token_rejected(instant now) const {
     return std::any_of(m_wanted.begin(), m_wanted.end(), [&](const auto &entry) {
-        const auto &since = entry.second.refused_since;
+        const auto &since = entry.second.token_refused_since;
         return since && *since + m_options.refusal_timeout <= now;
     });
 }
 
-void hold_call_scheduler::forget_ended(instant now) {
+void hold_call_scheduler::drop_ended_grants(instant now) {
     std::erase_if(m_granted, [now](const granted &item) { return item.ends <= now; });
 }
 
 /// How long a hold may run by a clock that lags.
 duration hold_call_scheduler::max_real_length(duration length) const {
-    return m_keeper.max_real_length(length);
+    return m_manager.max_real_length(length);
 }
 
 } // namespace peppertack
--- a/src/transport/traffic/node_agent.cpp
+++ b/src/transport/traffic/node_agent.cpp
@@ -132,7 +132,7 @@
         const bool holds = keyed() && at.now < may_hold_until();
         const bool missed = m_beat_at + m_options.heartbeat_interval * 2 < at.now;
         // Its keys get higher tokens with its next registration.
-        const bool stuck = m_caller.stuck(at.now);
+        const bool stuck = m_caller.token_rejected(at.now);
         if (!holds &&
             (m_left || silent || stuck || (keyed() && missed && may_hold_until() != instant{}))) {
             // One that fell silent may only have been cut off or paused, and may report again.
--- a/tests/coordination/held_lease.hpp
+++ b/tests/coordination/held_lease.hpp
@@ -50,9 +50,9 @@
     }
 
     /// What the next renewal would report as released.
-    std::vector<range_report> released(const hold_manager &keeper) const {
+    std::vector<range_report> released(const hold_manager &manager) const {
         renew_request request;
-        keeper.fill_report(request, client);
+        manager.fill_report(request, client);
         return request.released;
     }
 
--- a/tests/coordination/hold_call_scheduler_test.cpp
+++ b/tests/coordination/hold_call_scheduler_test.cpp
@@ -20,15 +20,15 @@
 constexpr hold_call_end lost{.result = hold_call_end::kind::lost};
 
 /// A node, long after its start, whose target has keys 0 to 99 under token 5 and the rest under 6.
-struct caller_fixture {
-    caller_fixture() : lease(start) { lease.set_ranges(ranges()); }
+struct scheduler_fixture {
+    scheduler_fixture() : lease(start) { lease.set_ranges(ranges()); }
     static std::vector<range_record> ranges(target_number next = no_target) {
         return {{.first = 0, .owner = own, .token = 5, .next = next},
                 {.first = ordered_key_hash(100), .owner = own, .token = 6}};
     }
     std::vector<hold_call> due(instant now) {
         lease.renew(now);
-        return caller.due(lease.client, now, now);
+        return scheduler.due(lease.client, now, now);
     }
     /// The only call that is due.
     hold_call only_due(instant now) {
@@ -39,8 +39,8 @@
     /// Writes a call, which ends at `ended`.
     void carry_out(const hold_call &call, instant written, const hold_call_end &how,
                    instant ended) {
-        REQUIRE(caller.write(call.id, lease.client, written));
-        caller.end(call.id, how, ended);
+        REQUIRE(scheduler.write(call.id, lease.client, written));
+        scheduler.end(call.id, how, ended);
     }
     /// Grants all that is due, each call answered at once.
     void grant_all(instant now) {
@@ -56,28 +56,28 @@
     }
 
     held_lease lease;
-    hold_manager keeper{{}};
-    hold_call_scheduler caller{{.previous_process_hold = 0ms},
-                               keeper}; // what ran before is long over
+    hold_manager manager{{}};
+    hold_call_scheduler scheduler{{.previous_process_hold = 0ms},
+                                  manager}; // what ran before is long over
 };
 
 } // namespace
 
 TEST_CASE("a target is granted its keys by calls, one at a time, and again before they end") {
-    caller_fixture node;
+    scheduler_fixture node;
     const auto first = node.due(start);
     REQUIRE(first.size() == 1);
     CHECK(first[0].what == hold_call::kind::grant);
     CHECK(first[0].span == held_span{0, 99, 5, ""});
     CHECK(node.due(start + 1ms).empty()); // the next one waits for the answer
-    const auto length = node.caller.write(first[0].id, node.lease.client, start + 1ms);
+    const auto length = node.scheduler.write(first[0].id, node.lease.client, start + 1ms);
     REQUIRE(length);
-    CHECK_FALSE(node.caller.holds(50, start + 2ms)); // not before the target says so
-    node.caller.end(first[0].id, done, start + 2ms);
-    CHECK(node.caller.holds(50, start + 2ms));
-    CHECK_FALSE(node.caller.holds(50, start + 1ms + *length));
+    CHECK_FALSE(node.scheduler.holds(50, start + 2ms)); // not before the target says so
+    node.scheduler.end(first[0].id, done, start + 2ms);
+    CHECK(node.scheduler.holds(50, start + 2ms));
+    CHECK_FALSE(node.scheduler.holds(50, start + 1ms + *length));
     node.grant_all(start + 3ms);
-    CHECK(node.caller.holds(500, start + 3ms));
+    CHECK(node.scheduler.holds(500, start + 3ms));
     CHECK(node.due(start + 100ms).empty());
     // Two renewals may be lost: the third comes while the hold still runs.
     CHECK(*length > 3 * hold_call_scheduler::options{}.renew_after);
@@ -88,22 +88,22 @@
     // Symptom: two owners. Sequence: a grant was decided on, the process was paused, and went on
     // to write the length that had been right before the pause. Cause: the length was worked out
     // with the decision.
-    caller_fixture node;
+    scheduler_fixture node;
     const auto calls = node.due(start);
     REQUIRE(calls.size() == 1);
     const instant late = node.lease.client.lease_until() - 500ms;
-    const auto length = node.caller.write(calls[0].id, node.lease.client, late);
+    const auto length = node.scheduler.write(calls[0].id, node.lease.client, late);
     REQUIRE(length);
     const auto answer_timeout = hold_call_scheduler::options{}.answer_timeout;
-    CHECK(late + answer_timeout + node.keeper.max_real_length(*length) <=
+    CHECK(late + answer_timeout + node.manager.max_real_length(*length) <=
           node.lease.client.lease_until());
-    caller_fixture paused;
+    scheduler_fixture paused;
     const auto decided = paused.due(start);
-    CHECK_FALSE(paused.caller.write(decided.at(0).id, paused.lease.client, start + 10s));
+    CHECK_FALSE(paused.scheduler.write(decided.at(0).id, paused.lease.client, start + 10s));
 }
 
 TEST_CASE("neighbouring ranges under one token are granted by one call") {
-    caller_fixture node;
+    scheduler_fixture node;
     node.lease.set_ranges({{.first = 0, .owner = own, .token = 5},
                            {.first = ordered_key_hash(100), .owner = own, .token = 5},
                            {.first = ordered_key_hash(200), .owner = other, .token = 5}});
@@ -113,59 +113,59 @@
 }
 
 TEST_CASE("a range that moves is released by a call, and its handover goes on") {
-    caller_fixture node;
+    scheduler_fixture node;
     node.grant_and_move(start);
     const auto calls = node.due(start + 10ms);
     REQUIRE(calls.size() == 1);
     CHECK(calls[0].what == hold_call::kind::release);
     CHECK(calls[0].span == held_span{0, 99, 5, ""});
-    REQUIRE(node.caller.write(calls[0].id, node.lease.client, start + 10ms));
+    REQUIRE(node.scheduler.write(calls[0].id, node.lease.client, start + 10ms));
     // Its requests go on running; the call stays open for as long as they take.
     (void)node.due(start + 300ms);
-    CHECK(node.lease.released(node.keeper).empty());
-    node.caller.end(calls[0].id, {.result = hold_call_end::kind::done, .handover = "h"},
-                    start + 310ms);
+    CHECK(node.lease.released(node.manager).empty());
+    node.scheduler.end(calls[0].id, {.result = hold_call_end::kind::done, .handover = "h"},
+                       start + 310ms);
     (void)node.due(start + 310ms);
-    const auto released = node.lease.released(node.keeper);
+    const auto released = node.lease.released(node.manager);
     REQUIRE(released.size() == 1);
     CHECK(released[0].first == 0);
     CHECK(released[0].handover == "h");
-    CHECK_FALSE(node.caller.holds(50, start + 311ms));
-    CHECK(node.caller.holds(500, start + 311ms));
+    CHECK_FALSE(node.scheduler.holds(50, start + 311ms));
+    CHECK(node.scheduler.holds(500, start + 311ms));
 }
 
 TEST_CASE("keys of a grant without an answer are not given on before its time has run out") {
     // Symptom: two owners. Sequence: a renewal got no answer; the range was to move, its release
     // was answered, and it went to another target; then the first one carried the renewal out.
     // Cause: the answer to the release was taken for the end of all grants.
-    caller_fixture node;
+    scheduler_fixture node;
     node.grant_all(start);
     const auto renewal = node.due(start + 450ms);
     REQUIRE(renewal.size() == 1);
     REQUIRE(renewal[0].span.from == 0);
-    const auto length = node.caller.write(renewal[0].id, node.lease.client, start + 450ms);
+    const auto length = node.scheduler.write(renewal[0].id, node.lease.client, start + 450ms);
     REQUIRE(length);
     const instant given_up = start + 450ms + hold_call_scheduler::options{}.answer_timeout;
-    REQUIRE(node.caller.overdue(given_up) == std::vector{renewal[0].id});
-    node.caller.end(renewal[0].id, lost, given_up);
-    node.lease.set_ranges(caller_fixture::ranges(other));
+    REQUIRE(node.scheduler.overdue(given_up) == std::vector{renewal[0].id});
+    node.scheduler.end(renewal[0].id, lost, given_up);
+    node.lease.set_ranges(scheduler_fixture::ranges(other));
     const auto calls = node.due(given_up + 1ms);
     REQUIRE(calls.at(0).what == hold_call::kind::release);
     node.carry_out(calls[0], given_up + 1ms, done, given_up + 2ms);
-    const instant ends = given_up + node.keeper.max_real_length(*length);
+    const instant ends = given_up + node.manager.max_real_length(*length);
     (void)node.due(ends - 1ms);
-    CHECK(node.lease.released(node.keeper).empty());
+    CHECK(node.lease.released(node.manager).empty());
     (void)node.due(ends);
-    CHECK(node.lease.released(node.keeper).size() == 1);
+    CHECK(node.lease.released(node.manager).size() == 1);
 }
 
 TEST_CASE("a release without an answer is made again and proves nothing") {
-    caller_fixture node;
+    scheduler_fixture node;
     node.grant_and_move(start);
     const auto first = node.due(start + 10ms);
     node.carry_out(first.at(0), start + 10ms, lost, start + 20ms);
     CHECK(node.due(start + 30ms).empty());
-    CHECK(node.lease.released(node.keeper).empty());
+    CHECK(node.lease.released(node.manager).empty());
     const auto again = node.due(start + 80ms);
     REQUIRE(again.size() == 1);
     CHECK(again[0].what == hold_call::kind::release);
@@ -175,87 +175,89 @@
 TEST_CASE("a token that the target refuses is not sent again") {
     // The target has seen a higher one, so what is believed here is old. Sent again it would be
     // refused for ever.
-    caller_fixture node;
+    scheduler_fixture node;
     const auto calls = node.due(start);
     node.carry_out(calls.at(0), start, {.result = hold_call_end::kind::token_refused}, start + 1ms);
     for (const duration later : {2ms, 100ms, 1000ms}) {
         for (const hold_call &call : node.due(start + later)) {
             CHECK(call.span.token != 5);
-            REQUIRE(node.caller.write(call.id, node.lease.client, start + later));
-            node.caller.end(call.id, done, start + later);
+            REQUIRE(node.scheduler.write(call.id, node.lease.client, start + later));
+            node.scheduler.end(call.id, done, start + later);
         }
     }
-    CHECK_FALSE(node.caller.stuck(start + 1s));
+    CHECK_FALSE(node.scheduler.token_rejected(start + 1s));
     // A new map with a higher token helps.
     node.lease.set_ranges({{.first = 0, .owner = own, .token = 9}});
     const auto higher = node.due(start + 1100ms);
     REQUIRE(higher.size() == 1);
-    node.caller.end(higher[0].id, done, start + 1101ms);
+    node.scheduler.end(higher[0].id, done, start + 1101ms);
     // Where none comes the registration has to end.
-    node.lease.set_ranges(caller_fixture::ranges());
+    node.lease.set_ranges(scheduler_fixture::ranges());
     const auto refused = node.due(start + 1200ms);
     REQUIRE(refused.size() == 1);
-    node.caller.end(refused[0].id, {.result = hold_call_end::kind::token_refused}, start + 1200ms);
-    CHECK(node.caller.stuck(start + 1200ms + hold_call_scheduler::options{}.refusal_timeout));
+    node.scheduler.end(refused[0].id, {.result = hold_call_end::kind::token_refused},
+                       start + 1200ms);
+    CHECK(node.scheduler.token_rejected(start + 1200ms +
+                                        hold_call_scheduler::options{}.refusal_timeout));
 }
 
 TEST_CASE("a node that was started again waits out what its earlier life may have granted") {
     held_lease lease(start);
-    lease.set_ranges(caller_fixture::ranges(other));
-    hold_manager keeper({});
-    hold_call_scheduler caller({}, keeper);
-    const auto calls = caller.due(lease.client, start, start);
+    lease.set_ranges(scheduler_fixture::ranges(other));
+    hold_manager manager({});
+    hold_call_scheduler scheduler({}, manager);
+    const auto calls = scheduler.due(lease.client, start, start);
     REQUIRE(calls.at(0).what == hold_call::kind::release);
-    REQUIRE(caller.write(calls[0].id, lease.client, start));
-    caller.end(calls[0].id, done, start + 1ms);
+    REQUIRE(scheduler.write(calls[0].id, lease.client, start));
+    scheduler.end(calls[0].id, done, start + 1ms);
     lease.renew(start + 1s);
-    (void)caller.due(lease.client, start + 1s, start + 1s);
-    CHECK(lease.released(keeper).empty());
+    (void)scheduler.due(lease.client, start + 1s, start + 1s);
+    CHECK(lease.released(manager).empty());
     const instant over = start + hold_call_scheduler::options{}.previous_process_hold;
     lease.renew(over);
-    (void)caller.due(lease.client, over, over);
-    CHECK(lease.released(keeper).size() == 1);
+    (void)scheduler.due(lease.client, over, over);
+    CHECK(lease.released(manager).size() == 1);
 }
 
 TEST_CASE("a target that is silent and answers no grant is granted nothing more") {
     // Each further grant would keep its keys from others for its whole length.
-    caller_fixture node;
+    scheduler_fixture node;
     node.grant_all(start);
     node.lease.renew(start + 450ms);
-    const auto calls = node.caller.due(node.lease.client, start, start + 450ms);
+    const auto calls = node.scheduler.due(node.lease.client, start, start + 450ms);
     node.carry_out(calls.at(0), start + 450ms, lost, start + 700ms);
     node.lease.renew(start + 1100ms);
-    CHECK(node.caller.due(node.lease.client, start, start + 1100ms).empty());
-    CHECK_FALSE(node.caller.due(node.lease.client, start + 1100ms, start + 1100ms).empty());
+    CHECK(node.scheduler.due(node.lease.client, start, start + 1100ms).empty());
+    CHECK_FALSE(node.scheduler.due(node.lease.client, start + 1100ms, start + 1100ms).empty());
 }
 
 TEST_CASE("keys that the target refuses are granted again at once") {
-    caller_fixture node;
+    scheduler_fixture node;
     node.grant_all(start);
     REQUIRE(node.due(start + 100ms).empty());
-    node.caller.note_refused(50, start + 100ms);
-    CHECK_FALSE(node.caller.holds(50, start + 100ms));
-    CHECK(node.caller.holds(500, start + 100ms));
+    node.scheduler.note_refused(50, start + 100ms);
+    CHECK_FALSE(node.scheduler.holds(50, start + 100ms));
+    CHECK(node.scheduler.holds(500, start + 100ms));
     const auto again = node.due(start + 160ms);
     REQUIRE(again.size() == 1);
     node.carry_out(again[0], start + 160ms, done, start + 161ms);
-    CHECK(node.caller.holds(50, start + 161ms));
+    CHECK(node.scheduler.holds(50, start + 161ms));
 }
 
 TEST_CASE("a move that was called off leaves no release behind") {
     // Symptom: two owners. Sequence: a range was released, its move called off, the range granted
     // again, and moved once more; the report of the first release was sent for the second move.
-    caller_fixture node;
+    scheduler_fixture node;
     node.grant_and_move(start);
     const auto calls = node.due(start + 10ms);
     node.carry_out(calls.at(0), start + 10ms, done, start + 11ms);
     (void)node.due(start + 11ms);
-    REQUIRE(node.lease.released(node.keeper).size() == 1);
-    node.lease.set_ranges(caller_fixture::ranges());
+    REQUIRE(node.lease.released(node.manager).size() == 1);
+    node.lease.set_ranges(scheduler_fixture::ranges());
     node.grant_all(start + 20ms);
-    CHECK(node.caller.holds(50, start + 21ms));
-    node.lease.set_ranges(caller_fixture::ranges(other));
-    CHECK(node.lease.released(node.keeper).empty());
+    CHECK(node.scheduler.holds(50, start + 21ms));
+    node.lease.set_ranges(scheduler_fixture::ranges(other));
+    CHECK(node.lease.released(node.manager).empty());
 }
 
 TEST_CASE("keys have one holder however calls are lost, late and paused") {
--- a/tests/coordination/hold_fuzz.cpp
+++ b/tests/coordination/hold_fuzz.cpp
@@ -22,14 +22,14 @@
 
 /// The target's side: it counts a grant from its arrival and promises nothing else, in particular
 /// not that it compares tokens when it carries out a grant late.
-class late_target {
+class delayed_target {
 public:
     struct hold {
         std::uint32_t from = 0;
         std::uint32_t to = 0;
         instant until{};
     };
-    struct late_grant {
+    struct delayed_grant {
         instant at{};
         hold item;
     };
@@ -37,7 +37,7 @@
     void grant(const held_span &span, duration length, instant arrived, instant carried_out) {
         const auto max_real_length = duration(
             static_cast<duration::rep>(static_cast<double>(length.count()) * slowest_clock));
-        m_late.push_back({carried_out, {span.from, span.to, arrived + max_real_length}});
+        m_delayed.push_back({carried_out, {span.from, span.to, arrived + max_real_length}});
     }
     /// New work stops; what runs ends at `work_until`.
     void release(const held_span &span, instant work_until) {
@@ -59,12 +59,12 @@
         m_holds = std::move(left);
     }
     void step(instant now) {
-        for (const late_grant &item : m_late) {
+        for (const delayed_grant &item : m_delayed) {
             if (item.at <= now) {
                 m_holds.push_back(item.item);
             }
         }
-        std::erase_if(m_late, [now](const late_grant &item) { return item.at <= now; });
+        std::erase_if(m_delayed, [now](const delayed_grant &item) { return item.at <= now; });
         std::erase_if(m_holds, [now](const hold &item) { return item.until <= now; });
     }
     /// Whether any key from `from` to `to` is held or worked on.
@@ -75,25 +75,25 @@
 
 private:
     std::vector<hold> m_holds;
-    std::vector<late_grant> m_late;
+    std::vector<delayed_grant> m_delayed;
 };
 
-class hold_world {
+class hold_simulation {
 public:
-    explicit hold_world(std::uint64_t seed) : m_random(seed), m_lease(m_now) {
+    explicit hold_simulation(std::uint64_t seed) : m_random(seed), m_lease(m_now) {
         for (std::size_t i = 0; i < range_count; ++i) {
             m_ranges[i] = {.first = ordered_key_hash(first_key(i)),
                            .owner = held_lease::own,
                            .token = ++m_last_token};
         }
-        tell_ranges();
+        publish_ranges();
     }
 
     std::string run() {
-        for (int i = 0; i < steps && m_found.empty(); ++i) {
+        for (int i = 0; i < steps && m_violation.empty(); ++i) {
             step();
         }
-        return m_found;
+        return m_violation;
     }
 
 private:
@@ -106,7 +106,7 @@
     };
 
     bool chance(int in_hundred) { return static_cast<int>(m_random() % 100) < in_hundred; }
-    duration up_to(duration most) {
+    duration random_up_to(duration most) {
         return duration(
             static_cast<duration::rep>(m_random() % static_cast<std::uint64_t>(most.count() + 1)));
     }
@@ -115,25 +115,28 @@
     }
 
     void step() {
-        advance(chance(2) ? up_to(4s) : up_to(60ms)); // now and then the node is paused
+        advance(chance(2) ? random_up_to(4s)
+                          : random_up_to(60ms)); // now and then the node is paused
         if (chance(3)) {
-            m_cut_until = m_now + up_to(4s);
+            m_disconnected_until = m_now + random_up_to(4s);
         }
-        if (m_now >= m_cut_until) {
+        if (m_now >= m_disconnected_until) {
             m_lease.renew(m_now);
         }
         if (chance(10)) {
             change_range(m_random() % range_count);
         }
-        for (const std::uint64_t id : m_caller.overdue(m_now)) {
+        for (const std::uint64_t id : m_scheduler.overdue(m_now)) {
             m_sent.erase(id);
-            m_caller.end(id, {.result = hold_call_end::kind::lost}, m_now);
+            m_scheduler.end(id, {.result = hold_call_end::kind::lost}, m_now);
         }
-        std::erase_if(m_sent, [&](const auto &item) { return !m_caller.is_in_flight(item.first); });
+        std::erase_if(m_sent,
+                      [&](const auto &item) { return !m_scheduler.is_in_flight(item.first); });
         write_calls();
         end_calls();
-        for (const hold_call &call : m_caller.due(m_lease.client, m_now, m_now)) {
-            m_sent[call.id] = {.call = call, .write_at = m_now + (chance(5) ? up_to(100ms) : 0ms)};
+        for (const hold_call &call : m_scheduler.due(m_lease.client, m_now, m_now)) {
+            m_sent[call.id] = {.call = call,
+                               .write_at = m_now + (chance(5) ? random_up_to(100ms) : 0ms)};
         }
         write_calls();
         take_releases();
@@ -142,22 +145,23 @@
     /// Time passes in small parts, in which the target acts and the oracle looks.
     void advance(duration time) {
         const instant end = m_now + time;
-        while (m_now < end && m_found.empty()) {
+        while (m_now < end && m_violation.empty()) {
             m_now = std::min(end, m_now + 10ms);
             m_target.step(m_now);
-            look();
+            check_holds();
         }
     }
 
-    void look() {
+    void check_holds() {
         for (std::size_t i = 0; i < range_count; ++i) {
             const bool held = m_target.holds(first_key(i), first_key(i) + range_keys - 1);
             if (held && m_ranges[i].owner == held_lease::other) {
-                m_found = "keys of range " + std::to_string(i) + " are held after they went on";
+                m_violation = "keys of range " + std::to_string(i) + " are held after they went on";
             }
             // From then on the leader may give them to others without asking.
             if (held && m_now > m_lease.client.lease_until() + rounding) {
-                m_found = "keys of range " + std::to_string(i) + " are held after the lease ended";
+                m_violation =
+                    "keys of range " + std::to_string(i) + " are held after the lease ended";
             }
         }
     }
@@ -167,9 +171,9 @@
             if (item.written || m_now < item.write_at) {
                 continue;
             }
-            const auto length = m_caller.write(id, m_lease.client, m_now);
+            const auto length = m_scheduler.write(id, m_lease.client, m_now);
             if (!length) {
-                m_caller.end(id, {.result = hold_call_end::kind::not_sent}, m_now);
+                m_scheduler.end(id, {.result = hold_call_end::kind::not_sent}, m_now);
                 continue;
             }
             item.written = true;
@@ -185,18 +189,18 @@
 
     void send_grant(sent_call &item, duration length) {
         if (item.answers) {
-            item.answer_at = m_now + up_to(20ms);
+            item.answer_at = m_now + random_up_to(20ms);
             m_target.grant(item.call.span, length, m_now, m_now);
             return;
         }
         if (chance(70)) {
-            const instant arrived = m_now + up_to(240ms);
-            m_target.grant(item.call.span, length, arrived, arrived + up_to(3s));
+            const instant arrived = m_now + random_up_to(240ms);
+            m_target.grant(item.call.span, length, arrived, arrived + random_up_to(3s));
         }
     }
 
     void send_release(sent_call &item) {
-        const instant work_until = m_now + (chance(30) ? up_to(1500ms) : 0ms);
+        const instant work_until = m_now + (chance(30) ? random_up_to(1500ms) : 0ms);
         item.answer_at = work_until;
         if (item.answers || chance(50)) {
             m_target.release(item.call.span, work_until);
@@ -208,10 +212,10 @@
         for (const auto &[id, item] : m_sent) {
             const bool grant = item.call.what == hold_call::kind::grant;
             if (item.written && item.answers && item.answer_at <= m_now) {
-                m_caller.end(id, {.result = hold_call_end::kind::done, .handover = "h"}, m_now);
+                m_scheduler.end(id, {.result = hold_call_end::kind::done, .handover = "h"}, m_now);
                 over.push_back(id);
             } else if (item.written && !item.answers && !grant && chance(10)) {
-                m_caller.end(id, {.result = hold_call_end::kind::lost}, m_now);
+                m_scheduler.end(id, {.result = hold_call_end::kind::lost}, m_now);
                 over.push_back(id);
             }
         }
@@ -230,11 +234,11 @@
         } else {
             range.next = range.next == no_target ? held_lease::other : no_target;
         }
-        tell_ranges();
+        publish_ranges();
     }
 
     void take_releases() {
-        for (const range_report &report : m_lease.released(m_keeper)) {
+        for (const range_report &report : m_lease.released(m_manager)) {
             for (range_record &range : m_ranges) {
                 if (range.first == report.first && range.token == report.token &&
                     range.next == held_lease::other) {
@@ -244,29 +248,29 @@
                 }
             }
         }
-        look();
-        tell_ranges();
+        check_holds();
+        publish_ranges();
     }
 
-    void tell_ranges() { m_lease.set_ranges({m_ranges.begin(), m_ranges.end()}); }
+    void publish_ranges() { m_lease.set_ranges({m_ranges.begin(), m_ranges.end()}); }
 
     std::mt19937_64 m_random;
     instant m_now{1000s};
     held_lease m_lease;
-    hold_manager m_keeper{{}};
-    hold_call_scheduler m_caller{{.previous_process_hold = 0ms}, m_keeper};
-    late_target m_target;
+    hold_manager m_manager{{}};
+    hold_call_scheduler m_scheduler{{.previous_process_hold = 0ms}, m_manager};
+    delayed_target m_target;
     std::array<range_record, range_count> m_ranges;
     fencing_token m_last_token = 0;
     std::map<std::uint64_t, sent_call> m_sent;
-    instant m_cut_until{};
-    std::string m_found;
+    instant m_disconnected_until{};
+    std::string m_violation;
 };
 
 } // namespace
 
 std::string run_hold_sequence(std::uint64_t seed) {
-    return hold_world(seed).run();
+    return hold_simulation(seed).run();
 }
 
 } // namespace peppertack::testing
