--- a/tests/coordination/crash_fuzz.cpp
+++ b/tests/coordination/crash_fuzz.cpp
@@ -11,10 +11,10 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t nodes = 5;
-constexpr std::uint64_t things = 12; ///< popular contents
-constexpr std::size_t ends_known = 3;
-constexpr std::ptrdiff_t late_ends = 3; ///< allowed once what was learnt has spread
-constexpr duration contact_window = 3s;
+constexpr std::uint64_t popular_contents = 12; ///< popular contents
+constexpr std::size_t crashes_until_quarantine = 3;
+constexpr std::ptrdiff_t max_late_crashes = 3; ///< allowed once what was learnt has spread
+constexpr duration propagation_time = 3s;
 
 class crash_sequence {
 public:
@@ -28,12 +28,12 @@
         }
         // The last evidence may still be on its way.
         m_world->run(5s);
-        return fault();
+        return violation();
     }
 
 private:
     void step() {
-        ask();
+        submit_requests();
         m_world->run(duration(30'000 + m_random() % 150'000));
         // A process takes longer to start than its end takes to be noticed.
         const bool noticed =
@@ -51,14 +51,14 @@
         }
     }
 
-    void ask() {
+    void submit_requests() {
         if (m_random() % 2 == 0) {
             m_world->submit_content(m_random() % nodes, 4, world::crashing_content);
         }
         for (int i = 0; i < 8; ++i) {
             // Half of all are for one thing; it shares its owner with the request that ends
             // targets.
-            const std::uint64_t thing = m_random() % 2 == 0 ? 4 : m_random() % things;
+            const std::uint64_t thing = m_random() % 2 == 0 ? 4 : m_random() % popular_contents;
             m_world->submit_content(m_random() % nodes, static_cast<unsigned int>(thing),
                                     "thing " + std::to_string(thing));
         }
@@ -80,22 +80,23 @@
         m_world->restart(*leader);
         m_world->run(500ms);
         const instant back = m_world->now();
-        m_unstable.push_back({back - 1500ms, back + contact_window});
+        m_unstable.push_back({back - 1500ms, back + propagation_time});
     }
 
     bool counts(instant end) const {
         const bool unstable =
             std::any_of(m_unstable.begin(), m_unstable.end(),
                         [&](const auto &span) { return span.first <= end && end <= span.second; });
-        return !unstable && end > m_world->crashes()[ends_known - 1] + contact_window;
+        return !unstable &&
+               end > m_world->crashes()[crashes_until_quarantine - 1] + propagation_time;
     }
 
-    std::string fault() const {
+    std::string violation() const {
         const std::vector<instant> &ends = m_world->crashes();
-        if (ends.size() > ends_known) {
+        if (ends.size() > crashes_until_quarantine) {
             const auto late =
                 std::count_if(ends.begin(), ends.end(), [&](instant end) { return counts(end); });
-            if (late > late_ends) {
+            if (late > max_late_crashes) {
                 return std::to_string(late) + " ends too many";
             }
         }
--- a/tests/coordination/crashing_request_test.cpp
+++ b/tests/coordination/crashing_request_test.cpp
@@ -12,9 +12,9 @@
 namespace {
 
 /// Until then what is known of a request need not have reached every node.
-constexpr duration contact_window = 3s;
+constexpr duration propagation_time = 3s;
 /// Further ends that may be caused by then.
-constexpr std::ptrdiff_t late_crashes = 3;
+constexpr std::ptrdiff_t max_late_crashes = 3;
 constexpr unsigned int keys = 30;
 
 /// PEPPERTACK_SEEDS asks for a longer run by hand.
@@ -52,12 +52,12 @@
 /// Crashes that the rule does not allow for: after what was learnt from the third was everywhere.
 std::ptrdiff_t crashes_after(const world &all, instant learnt) {
     return std::count_if(all.crashes().begin(), all.crashes().end(),
-                         [&](instant at) { return at > learnt + contact_window; });
+                         [&](instant at) { return at > learnt + propagation_time; });
 }
 
 void check_contained(world &all) {
     REQUIRE(all.crashes().size() >= 3);
-    CHECK(crashes_after(all, all.crashes()[2]) <= late_crashes);
+    CHECK(crashes_after(all, all.crashes()[2]) <= max_late_crashes);
     CHECK(all.violations() == std::vector<std::string>{});
 }
 
@@ -109,7 +109,7 @@
         all.run(2s);
         const instant stable = all.now();
         repeat_crashing(all, 15s, random);
-        CHECK(crashes_after(all, stable) <= late_crashes);
+        CHECK(crashes_after(all, stable) <= max_late_crashes);
         CHECK(quarantined(all) == 1);
         CHECK(all.violations() == std::vector<std::string>{});
     }
--- a/tests/coordination/lease_client_test.cpp
+++ b/tests/coordination/lease_client_test.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 /// A node and what it has sent.
-class asking_node {
+class renewing_node {
 public:
-    explicit asking_node(node_options settings) : m_options(std::move(settings)) {}
+    explicit renewing_node(node_options settings) : m_options(std::move(settings)) {}
 
     /// Number of the last renewal once that time has come.
-    std::uint64_t ask(instant now) {
+    std::uint64_t renew(instant now) {
         lease.tick(
             {now, 0}, [](renew_request &, instant) {}, sent);
         return std::get<renew_request>(sent.back().body).sequence;
@@ -59,11 +59,11 @@
     options.self = "n:1";
     options.voters = {"a:1"};
     options.table_trusted_for = 1s;
-    asking_node node(options);
+    renewing_node node(options);
     lease_client &lease = node.lease;
     const instant start(1000s);
     const routing_table routing{.version = 4};
-    renew_reply reply{.sequence = node.ask(start), .is_leader = true, .routes_version = 4};
+    renew_reply reply{.sequence = node.renew(start), .is_leader = true, .routes_version = 4};
     reply.routes = pack(encode(routing));
     CHECK(!lease.routes_trusted(start));
     lease.receive("a:1", reply, {start + 400ms, 0});
@@ -72,16 +72,18 @@
     CHECK(!lease.routes_trusted(start + 1s));
 
     // An answer that names a newer version and does not bring it confirms nothing.
-    renew_reply newer{.sequence = node.ask(start + 600ms), .is_leader = true, .routes_version = 63};
+    renew_reply newer{
+        .sequence = node.renew(start + 600ms), .is_leader = true, .routes_version = 63};
     lease.receive("a:1", newer, {start + 601ms, 0});
     CHECK(!lease.routes_trusted(start + 1s));
 
     // Nor does one of a voter that does not lead.
-    renew_reply other{.sequence = node.ask(start + 1200ms), .routes_version = 4};
+    renew_reply other{.sequence = node.renew(start + 1200ms), .routes_version = 4};
     lease.receive("a:1", other, {start + 1201ms, 0});
     CHECK(!lease.routes_trusted(start + 1201ms));
 
-    renew_reply same{.sequence = node.ask(start + 1500ms), .is_leader = true, .routes_version = 4};
+    renew_reply same{
+        .sequence = node.renew(start + 1500ms), .is_leader = true, .routes_version = 4};
     lease.receive("a:1", same, {start + 1501ms, 0});
     CHECK(lease.routes_trusted(start + 1501ms));
 }
@@ -112,7 +114,7 @@
     restarted.incarnation = 12;
     const instant start(1000s);
     const target_announcement target{.name = "t", .service = "s", .slots = 1, .connections = 1};
-    const auto ask = [&](lease_client &lease, instant now) {
+    const auto renew = [&](lease_client &lease, instant now) {
         std::vector<outgoing> sent;
         lease.announce(target, {now, 0});
         lease.tick(
@@ -121,7 +123,7 @@
         return std::get<renew_request>(sent.back().body).sequence;
     };
     lease_client before(options);
-    const std::uint64_t asked_before = ask(before, start);
+    const std::uint64_t asked_before = renew(before, start);
     const routing_table routing{.version = 4};
     renew_reply held_up{.sequence = asked_before,
                         .is_leader = true,
@@ -131,7 +133,7 @@
     held_up.routes = pack(encode(routing));
 
     lease_client after(restarted);
-    ask(after, start + 5s);
+    renew(after, start + 5s);
     after.receive("a:1", held_up, {start + 5010ms, 0});
     CHECK(!after.routes_trusted(start + 5010ms));
     CHECK(after.number() == no_target);
@@ -145,11 +147,11 @@
     options.self = "n:1";
     options.voters = {"v:1"};
     options.renew_interval = 300ms;
-    asking_node node(options);
+    renewing_node node(options);
     const instant start(1000s);
     node.lease.announce({.name = "t", .service = "s"}, {start, 0});
     const auto answer = [&](instant now, target_number number) {
-        const renew_reply reply{.sequence = node.ask(now), .is_leader = true, .number = number};
+        const renew_reply reply{.sequence = node.renew(now), .is_leader = true, .number = number};
         node.lease.receive("v:1", reply, {now + 1ms, 0});
     };
     answer(start, no_target);
@@ -157,6 +159,6 @@
     REQUIRE(node.sent.size() == 2);
     answer(start + 220ms, 7);
     REQUIRE(node.sent.size() == 3);
-    node.ask(start + 330ms);
+    node.renew(start + 330ms);
     CHECK(node.sent.size() == 3);
 }
