--- a/include/peppertack/coordination/crash_reporter.hpp
+++ b/include/peppertack/coordination/crash_reporter.hpp
@@ -12,27 +12,27 @@
 
 namespace peppertack {
 
-/// Remembers which requests the target beside a node was running when its process ended. A broken
-/// connection alone says nothing: answers are lost and connections reset for other reasons too.
-/// Only once it is certain that the process has ended do the requests that it did not answer any
-/// more become a report. Not thread safe.
+/// Records which requests the local target was running when its process ended. A broken connection
+/// alone proves nothing, since answers are lost and connections reset for other reasons too.
+/// Unanswered requests become a crash report only once it is certain that the process has ended.
+/// Not thread safe.
 class crash_reporter {
 public:
-    /// A life of the target has answered a request in full. `known`: what the leader told this
-    /// node.
+    /// Records that an incarnation of the target (`life`) has answered a request in full. `known`:
+    /// the suspects that the leader reported to this node.
     void note_answered(std::uint64_t fingerprint, std::uint64_t life, const suspect_list &known,
                        instant now);
-    /// A request that a life of the target (its incarnation) had begun to run got no whole answer.
-    /// A fingerprint of zero is none.
+    /// Records that a request that an incarnation of the target (`life`) had begun to run got no
+    /// complete answer. A fingerprint of zero is ignored.
     void note_unanswered(std::uint64_t fingerprint, std::uint64_t life, instant now);
-    /// The process of that life has ended by itself.
+    /// Records that the process of that incarnation has ended unexpectedly.
     void note_end(const std::string &target, std::uint64_t life, instant now);
-    /// Reports that have been complete for a moment and are not known to be recorded.
+    /// Reports whose delay has passed and that are not known to be recorded by the leader.
     std::vector<crash_report> due(instant now) const;
-    /// Whether there is a report that has not been put into a renewal yet.
+    /// Whether a due report has not been put into a renewal yet.
     bool urgent(instant now) const;
     void fill_report(renew_request &request, const suspect_list &known, instant now);
-    /// The leader has recorded the ends of those lives.
+    /// Drops the reports for incarnations whose ends the leader has recorded.
     void recorded(const std::vector<std::uint64_t> &lives);
 
 private:
@@ -56,11 +56,13 @@
     bool answered_before(const lost_run &run) const;
 
     std::deque<lost_run> m_lost;          ///< in order of time
-    std::vector<answered_run> m_answered; ///< by a part of the fingerprint; empty until needed
-    std::uint64_t m_answering = 0;        ///< life that has answered last
+    std::vector<answered_run> m_answered; ///< indexed by the fingerprint modulo the size; empty
+                                          ///< until needed
+    std::uint64_t m_answering = 0;        ///< incarnation that answered last
     instant m_answered_at{};
     std::vector<ended_process> m_ended;
-    std::set<std::uint64_t> m_acquitted; ///< suspect requests that were answered here
+    std::set<std::uint64_t> m_acquitted; ///< suspect requests that were answered by the local
+                                         ///< target
 };
 
 } // namespace peppertack
--- a/include/peppertack/coordination/ended_incarnations.hpp
+++ b/include/peppertack/coordination/ended_incarnations.hpp
@@ -8,18 +8,20 @@
 
 namespace peppertack {
 
-/// Lives of targets that are known to have ended, or have said that they leave, beside one node. A
-/// call of one may have been held up on its way and must not bring it back. Not thread safe.
+/// Incarnations of a node's local target that are known to have ended or have announced that they
+/// leave. A delayed call of one of them must not register it again. Not thread safe.
 class ended_incarnations {
 public:
     void note(const target_incarnation &life, instant now);
-    /// Whether this life has ended. One that tells no start has a name of its own, which is never
-    /// used again; one that does and still calls long afterwards has not ended: a refused
-    /// connection was its node's or its kernel's fault, and it would be shut out for good.
+    /// Whether this incarnation has ended. One without a start time has a unique name and stays
+    /// ended. One with a start time that still calls after the retention has not ended: a refused
+    /// connection was a fault of its node or kernel, and it must not be excluded for good.
     bool has_ended(const target_incarnation &life, instant now) const;
-    /// Whether a life of this name, whichever, ended a short while ago.
+    /// Whether any incarnation of this name has ended within the retention; those without a start
+    /// time are never dropped by age.
     bool has_ended_recently(const std::string &name, instant now) const;
-    /// Whether a life of this name told its start: a call that tells none is another writer's.
+    /// Whether an ended incarnation of this name had a start time. A call without one then comes
+    /// from a different sender.
     bool has_known_start(const std::string &name) const;
 
 private:
@@ -30,7 +32,7 @@
 
     static bool fresh(const ended_incarnation &ended, instant now);
 
-    std::deque<ended_incarnation> m_lives; ///< the latest is the last
+    std::deque<ended_incarnation> m_lives; ///< in order of time
 };
 
 } // namespace peppertack
--- a/include/peppertack/coordination/lease_client.hpp
+++ b/include/peppertack/coordination/lease_client.hpp
@@ -12,61 +12,62 @@
 
 namespace peppertack {
 
-/// A node's side of its target's lease: finds the leader, renews, follows map and table. The lease
-/// runs from when the renewal was sent. Not thread safe.
+/// Node side of the target's lease: finds the leader, sends renewals, and follows the map and the
+/// tables. The lease is counted from when the renewal was sent. Not thread safe.
 class lease_client {
 public:
-    /// Puts what the other parts of the node have to report into a renewal.
+    /// Adds the reports of the node's other components to a renewal.
     using fill_report = std::function<void(renew_request &, instant)>;
 
     explicit lease_client(const node_options &options);
 
-    /// The lease is held back while the life of a registered target becomes known, until the leader
-    /// has confirmed that the registration is that life's: it may be an earlier one's, whose
-    /// fencing tokens must not be handed out again.
+    /// Announces the local target. When the incarnation of a registered target becomes known, the
+    /// lease is suspended until the leader has confirmed that the registration belongs to that
+    /// incarnation: it may be an earlier one's, whose fencing tokens must not be used again.
     void announce(const target_announcement &announcement, moment at);
-    /// The target is gone: nothing is served from now on and the lease is given up.
+    /// The target is gone: the lease is given up and no request is served from now on.
     void give_up(moment at);
     void begin_stop() { m_stopping = true; }
 
-    /// What changed by a step.
+    /// State changed by a message.
     struct change {
         bool map = false;
-        bool registration = false; ///< a new number, or none any more
+        bool registration = false; ///< the target number was assigned or dropped
         bool table = false;
         bool routes = false;
         bool suspects = false;
         std::string
-            unreadable_routes; ///< why a routing table that came was not taken; empty: none was
+            unreadable_routes; ///< why a received routing table was rejected; empty if none was
     };
     change receive(const node_address &from, const renew_reply &reply, moment at);
     change receive(const map_update &update);
     void tick(moment at, const fill_report &fill, std::vector<outgoing> &messages);
-    /// Renew with the next tick; something is to be reported or learnt.
+    /// Sends a renewal with the next tick, to report or to fetch something at once.
     void renew_at_next_tick() { m_renew_at = {}; }
 
     bool lease_valid(instant now) const { return m_number != no_target && now < m_lease_until; }
     instant lease_until() const { return m_lease_until; }
     target_number number() const { return m_number; }
-    /// Whether `number()` was given to the target of that name and service. It outlives its target
-    /// until the leader has heard of the end, which takes long while the voters can't be reached.
+    /// Whether `number()` belongs to the target of this name and service. A registration outlives
+    /// its target until the leader has processed its end, which takes long while the voters are
+    /// unreachable.
     bool registered(const std::string &name, const std::string &service) const;
     const route_map &map() const { return m_map; }
     const table &current_table() const { return m_table; }
     std::uint64_t table_version() const { return m_table_version; }
-    /// The routing table in force here; version 0 before the first.
+    /// The node's current routing table; version 0 before the first.
     const routing_table &routes() const { return m_routes; }
-    /// When a leader that was proved to lead last said that this routing table is the one in force,
-    /// by the time at which it was asked; zero before the first time.
+    /// When a leader confirmed by a quorum last reported this routing table as the one in force,
+    /// counted from when the renewal was sent; zero before the first time.
     instant routes_confirmed_at() const { return m_routes_confirmed_at; }
-    /// Whether a request may be told to be wrong by the routing table here. A caller does not send
-    /// such a request again, so a routing table that may have been replaced must not decide it.
+    /// Whether the routing table may be used to reject a request as invalid. Callers do not retry
+    /// such a request, so a table that may have been replaced must not decide it.
     bool routes_trusted(instant now) const { return trusted(m_routes_confirmed_at, now); }
-    /// The same for the table of services.
+    /// As `routes_trusted`, for the table of services.
     bool table_trusted(instant now) const { return trusted(m_table_confirmed_at, now); }
-    /// Requests under which targets have ended.
+    /// Requests suspected of crashing targets.
     const suspect_list &suspects() const { return m_suspects; }
-    /// Ranges of the local target, in order, with the last hash of each.
+    /// A range of the local target, with its last hash.
     struct own_range {
         range_record record;
         std::uint64_t last = 0;
@@ -87,7 +88,7 @@
     struct sent_renewal {
         instant at{};
         target_number number = no_target;
-        std::string name; ///< of the target that was announced; empty without one
+        std::string name; ///< announced target; empty without one
         std::string service;
         std::uint64_t incarnation = 0;
     };
@@ -107,14 +108,14 @@
     std::size_t m_voter = 0;
     std::optional<target_announcement> m_announcement;
     instant m_announced_at{};
-    std::uint64_t m_registration; ///< incarnation of the current or next registration
+    std::uint64_t m_registration; ///< node-level incarnation of the current or next registration
     target_number m_number = no_target;
     instant m_lease_until{};
     bool m_giving_up = false;
     bool m_stopping = false;
-    bool m_drain_seen = false; ///< a planned stop of this registration was under way
-    bool m_retired = false;    ///< the stop is done and the target has not been away since
-    std::optional<target_announcement> m_retired_target; ///< whose stop that was
+    bool m_drain_seen = false; ///< a planned stop of this registration was in progress
+    bool m_retired = false;    ///< the stop is complete and the target has not been absent since
+    std::optional<target_announcement> m_retired_target; ///< target of that stop
     route_map m_map;
     table m_table;
     std::uint64_t m_table_version = 0;
@@ -128,8 +129,8 @@
     instant m_answer_due{};
     instant m_sent_last{};
     bool m_waiting = false;
-    node_address m_silent_voter; ///< did not answer in time
-    instant m_relay_until{};     ///< until then renewals ask to be passed on to the leader
+    node_address m_silent_voter; ///< voter whose reply timed out
+    instant m_relay_until{};     ///< until then renewals ask to be relayed to the leader
     std::uint64_t m_renewed = 0;
 };
 
--- a/include/peppertack/coordination/lease_registry.hpp
+++ b/include/peppertack/coordination/lease_registry.hpp
@@ -9,39 +9,40 @@
 
 namespace peppertack {
 
-/// Lease timing shared by the control part and the nodes. A lease of `length` runs, for the node,
-/// from when it sent the renewal and is shortened by the drift; for the leader it runs from when
-/// the answer leaves and is lengthened by it. So the node always stops first while no clock runs
-/// faster or slower than `drift` allows.
+/// Lease timing shared by the control layer and the nodes. The node counts a lease of `length` from
+/// sending the renewal and shortens it by the drift; the leader counts it from sending the answer
+/// and lengthens it by the drift. The node therefore always stops first, as long as no clock's rate
+/// is off by more than `drift`.
 struct lease_timing {
     duration length = std::chrono::milliseconds(800);
     double drift = 0.01;
-    /// Added for a target that does not check fencing tokens: time for a process paused between its
-    /// last look at the clock and its write to be noticed by nobody else.
+    /// Added for a target that does not check fencing tokens: allows for a process that is paused
+    /// between its last lease check and its write.
     duration unchecked_wait = std::chrono::milliseconds(300);
 
-    /// How long after sending a renewal the node may serve.
+    /// Time after sending a renewal during which the node may serve.
     duration node_length() const;
-    /// How long after answering a renewal the leader waits before it gives ranges to another.
+    /// Time after answering a renewal before the leader may reassign the ranges.
     duration leader_wait(bool checks_tokens) const;
 };
 
-/// The leader's record of when each target's lease has surely ended. Not thread safe.
+/// The leader's registry of when each target's lease has certainly ended. Not thread safe.
 class lease_registry {
 public:
     explicit lease_registry(lease_timing timing) : m_timing(timing) {}
 
     const lease_timing &timing() const { return m_timing; }
-    /// Forgets everything: the next leader starts from `assume_renewed` for each live target.
+    /// Drops all leases. A new leader has to call `note_renewed` for each registered target.
     void clear() { m_leases.clear(); }
-    /// A renewal was, or may have been, answered at `now`.
+    /// Records that a renewal was, or may have been, answered at `now`.
     void note_renewed(target_number number, bool checks_tokens, instant now);
-    /// No renewal will be answered any more; the lease ends when it ends.
+    /// Stops renewals of the lease, which then expires at its current end.
     void revoke(target_number number);
     bool revoked(target_number number) const;
     void forget(target_number number) { m_leases.erase(number); }
     bool knows(target_number number) const { return m_leases.count(number) != 0; }
-    /// Targets whose lease has ended and that were not yielded before; they are revoked by this.
+    /// Returns targets whose lease has ended and that were not returned before, and revokes their
+    /// leases.
     std::vector<target_number> take_ended(instant now);
     std::optional<instant> ends_at(target_number number) const;
 
--- a/include/peppertack/coordination/node_core.hpp
+++ b/include/peppertack/coordination/node_core.hpp
@@ -11,8 +11,8 @@
 
 namespace peppertack {
 
-/// The node part of a process as one deterministic state machine: `step(time, event)` methods in,
-/// effects out. Not thread safe; the daemon holds a lock around each call.
+/// The node as one deterministic state machine: events go in with their time, effects come out. Not
+/// thread safe; the daemon holds a lock around each call.
 class node_core {
 public:
     explicit node_core(node_options options);
@@ -23,15 +23,16 @@
     void receive(const node_address &from, const message &body, moment at);
     void peer_down(const node_address &address, moment at);
 
-    /// The local target announced itself; it repeats this at an interval well below the timeout.
+    /// The local target announced itself; it does so repeatedly, well within `announce_timeout`.
     void announce(const target_announcement &announcement, moment at);
     /// The local target is known to be gone.
     void target_down(moment at);
-    /// This process is to stop: hand everything over. `stopped` tells when that is done.
+    /// Starts a planned shutdown: all ranges are handed over. `stopped` returns true once that is
+    /// done.
     void begin_stop(moment at);
     bool stopped() const;
 
-    /// Takes a caller's request; the answer comes among the effects under the yielded ticket.
+    /// Submits a caller's request. The answer is among the effects under the returned ticket.
     std::uint64_t submit(caller_request request, moment at);
     void call_finished(std::uint64_t call, call_result result, moment at);
 
--- a/include/peppertack/coordination/range_owner.hpp
+++ b/include/peppertack/coordination/range_owner.hpp
@@ -20,9 +20,9 @@
 
 namespace peppertack {
 
-/// The owner's side of a node: runs requests for the ranges its target owns, each at most once, and
-/// hands ranges over. Answers to local requests go to a callback, those to peers as messages. Not
-/// thread safe.
+/// Owner side of a node: executes requests for the ranges that the local target owns, each at most
+/// once, and hands ranges over on planned moves. Answers to local requests are passed to a
+/// callback, answers to peers are sent as messages. Not thread safe.
 class range_owner {
 public:
     using local_reply = std::function<void(const request_id &, caller_response, moment)>;
@@ -30,12 +30,13 @@
     range_owner(const node_options &options, lease_client &lease, node_effects &effects,
                 node_counters &counters, local_reply reply);
 
-    /// Takes a request from a peer (`from`) or from this node itself. `owner` is the registration
-    /// the sender takes for the owner.
+    /// Accepts a request from a peer (`from`) or from this node itself (`from` empty). `owner` is
+    /// the registration that the sender assumes to own the key.
     void serve(const request_id &id, const std::optional<node_address> &from, target_number owner,
                caller_request request, moment at);
     void call_finished(std::uint64_t call, call_result result, moment at);
-    /// The caller does not want the answer any more. What has not been started never will be.
+    /// Cancels a request whose caller no longer needs the answer. A request that has not started is
+    /// never started; a running call is cancelled.
     void cancel(const request_id &id, moment at);
 
     void receive(const node_address &from, const fate_query &query, moment at);
@@ -48,16 +49,17 @@
     void map_changed(moment at);
     void table_changed();
     void registration_changed(moment at);
-    /// The target is gone or its lease was given up: refuse what waits, cancel what runs.
+    /// Refuses all waiting requests and cancels running ones; for a target that is gone or whose
+    /// lease was given up.
     void stop_serving(moment at);
     void fill_report(renew_request &request, instant now);
-    /// The process of the target has ended by itself.
+    /// The target's process has ended unexpectedly.
     void target_ended(instant now);
-    /// Ends of targets that the leader has recorded.
+    /// Target crashes that the leader has recorded.
     void crashes_recorded(const std::vector<std::uint64_t> &lives) { m_crashes.recorded(lives); }
 
-    /// Whether a request for `hash` that came now would be taken: the range is owned, not on its
-    /// way to another, and the lease holds.
+    /// Whether a request for `hash` would be accepted now: the range is owned, is not moving, and
+    /// the lease is valid.
     bool serves(std::uint64_t hash, instant now) const;
     const admission &admitted() const { return m_admission; }
     const key_memory &memory() const { return m_memory; }
@@ -77,14 +79,15 @@
         instant deadline{};
         phase state = phase::queued;
         fencing_token token = 0;
-        target_number registration = no_target; ///< of the target that was given it
+        target_number registration = no_target; ///< registration that the request was sent to
         instant started{};
         bool keyed = false;
     };
-    /// What is kept of a request from a peer after its end; without a response it was barred.
+    /// Result of a finished request from a peer, kept to answer fate queries. Without a response
+    /// the request is barred: it is dropped if it still arrives.
     struct finished_request {
         std::optional<caller_response> response;
-        bool dropped = false; ///< it ran, but its answer is not held any more
+        bool dropped = false; ///< it was executed, but its answer was not stored
         instant at{};
         std::size_t bytes = 0;
     };
--- a/include/peppertack/coordination/route_map.hpp
+++ b/include/peppertack/coordination/route_map.hpp
@@ -12,28 +12,31 @@
 
 namespace peppertack {
 
-/// A node's copy of who owns what, moved on by `map_update`s and never back. Not thread safe.
+/// A node's copy of the ownership map, updated by `map_update`s and never set back. Not thread
+/// safe.
 class route_map {
 public:
     struct service_map {
-        std::vector<std::uint64_t> firsts; ///< sorted; apart from the records, for fast search
+        std::vector<std::uint64_t> firsts; ///< sorted; stored separately from the records for fast
+                                           ///< search
         std::vector<range_record> ranges;
-        /// Position of the range that holds the first hash of each equal part of the key space;
-        /// parts are about as many as ranges, so a search has few candidates left.
+        /// Search index: for each equal part of the key space, the position of the range that
+        /// contains its first hash. There are about as many parts as ranges, so few candidates
+        /// remain for the search.
         std::vector<std::uint32_t> starts;
-        unsigned int part_shift = 0; ///< a hash shifted right by it is its part
+        unsigned int part_shift = 0; ///< shifting a hash right by this yields its part
 
-        /// Makes `starts` fit `firsts` again.
+        /// Rebuilds `starts` from `firsts`.
         void index();
-        /// Range that holds `hash`. Precondition: not empty.
+        /// Range that contains `hash`. Precondition: not empty.
         const range_record &at(std::uint64_t hash) const;
         /// Last hash of the range at position `index`.
         std::uint64_t last_hash(std::size_t index) const;
     };
 
     std::uint64_t version() const { return m_version; }
-    /// Applies an update that starts at the version held, or a whole map that is newer. Anything
-    /// else is late, or follows one that was lost: false, and nothing changes.
+    /// Applies an update that starts at the current version, or a whole map that is newer. Returns
+    /// false without a change if the update is late or follows one that was lost.
     bool apply(const map_update &update);
 
     /// Null if the service is not known.
@@ -56,7 +59,7 @@
     };
 
     std::uint64_t m_version = 0;
-    std::uint64_t m_as_of = 0; ///< the newest state that a record held may show
+    std::uint64_t m_as_of = 0; ///< newest state version that the records may reflect
     std::unordered_map<target_number, target_route> m_targets;
     std::unordered_map<std::string, service_map, text_hash, std::equal_to<>> m_maps;
     std::vector<std::string> m_services;
--- a/include/peppertack/coordination/standby_replicator.hpp
+++ b/include/peppertack/coordination/standby_replicator.hpp
@@ -10,16 +10,16 @@
 
 namespace peppertack {
 
-/// Something that may go on only once the standby holds what was added.
+/// An operation that may continue only once the standby holds the added keys.
 struct standby_waiter {
     enum class kind : std::uint8_t { request, handover, restored };
     kind what = kind::request;
     std::uint64_t id = 0;
 };
 
-/// Keeps a standby's copy of the remembered keys complete: first everything, then each change, in
-/// batches of which one at a time is under way. While the copy counts, nothing that may run only
-/// once is started before its key is held there. Not thread safe.
+/// Replicates the remembered keys to a standby: first a full copy, then each change, in batches of
+/// which one at a time is in flight. While the copy counts, no request that may run only once
+/// starts before the standby holds its key. Not thread safe.
 class standby_replicator {
 public:
     struct options {
@@ -29,25 +29,25 @@
 
     explicit standby_replicator(options settings) : m_options(settings) {}
 
-    /// Takes the standby named by the map; `owner` is this node's own registration. Yields waiters
-    /// that need not wait any more since the former copy has stopped counting.
+    /// Switches to the standby given in the map; `owner` is this node's own registration. Returns
+    /// the waiters that may continue because the former copy no longer counts.
     std::vector<standby_waiter> follow(target_number owner, const target_route &own,
                                        const node_address &standby_address);
-    /// The registration has ended.
+    /// Drops the standby when the registration has ended.
     std::vector<standby_waiter> reset();
 
-    /// Adds a change. True if `waiter` was kept and will be yielded later; false if it need not
-    /// wait.
+    /// Adds a change. Returns true if `waiter` was stored and will be returned later, false if it
+    /// need not wait.
     bool add(const remembered_key &key, std::optional<standby_waiter> waiter);
     bool add_all(const std::vector<remembered_key> &keys, standby_waiter waiter);
-    /// Sends what is due.
+    /// Sends or resends the batch that is due.
     void step(const key_memory &memory, instant now, std::vector<outgoing> &messages);
-    /// Takes a reply; yields the waiters that it releases.
+    /// Processes a reply. Returns the waiters that it releases.
     std::vector<standby_waiter> receive(const remember_reply &reply);
 
-    /// The copy may be relied on after a loss, or may be about to be.
+    /// Whether the copy may be relied on if the owner is lost, now or soon.
     bool counts() const { return m_standby != no_target && (m_complete || m_ready); }
-    /// For the renewal: what to report of the standby, if anything.
+    /// Adds the state of the standby to a renewal.
     void report(renew_request &request, instant now) const;
 
 private:
@@ -58,7 +58,7 @@
     target_number m_standby = no_target;
     node_address m_address;
     std::uint64_t m_epoch = 0;
-    bool m_ready = false;    ///< the map says that the copy counts
+    bool m_ready = false;    ///< the copy counts according to the map
     bool m_complete = false; ///< the whole copy was acknowledged in this epoch
     bool m_need_all = false;
     std::vector<remembered_key> m_pending;
--- a/include/peppertack/coordination/suspect_list.hpp
+++ b/include/peppertack/coordination/suspect_list.hpp
@@ -8,13 +8,13 @@
 
 namespace peppertack {
 
-/// The requests under which targets have ended, as the leader told a node last. Not thread safe.
+/// Requests suspected of crashing targets, as last received from the leader. Not thread safe.
 class suspect_list {
 public:
-    /// Version of what is known here; zero before the first.
+    /// Version of the list; zero before the first.
     std::uint64_t version() const { return m_version; }
     void replace(std::uint64_t version, const std::vector<suspect_request> &all);
-    /// Whether targets have ended under the request before.
+    /// Whether targets have ended while running the request.
     bool suspects(std::uint64_t fingerprint) const { return m_all.count(fingerprint) != 0; }
     /// Whether the request must not reach a target.
     bool is_quarantined(std::uint64_t fingerprint) const;
--- a/src/coordination/crash_reporter.cpp
+++ b/src/coordination/crash_reporter.cpp
@@ -11,17 +11,18 @@
 constexpr std::size_t most_lost = 512;
 constexpr std::size_t most_reported = 256;
 constexpr std::size_t most_ended = 16;
-/// Power of two. The answers of 5 s at 60 requests a second fit ten times.
+/// Power of two; ten times the answers of 5 s at 60 requests per second.
 constexpr std::size_t answered_places = 4096;
-/// A request that was answered so shortly before, here, is not what ended the target.
+/// A request that the local target answered this recently is not taken for the cause of its end.
 constexpr duration acquitted_by_answer = std::chrono::seconds(5);
-/// An answer of a process that has just ended may be read so long after other connections broke.
+/// The answer of a process that has just ended may be read this long after its other connections
+/// broke.
 constexpr duration answer_lag = std::chrono::milliseconds(200);
-/// Runs that broke off longer before the end had another cause.
+/// Requests that broke off longer before the end than this had another cause.
 constexpr duration longest_end = std::chrono::seconds(10);
-/// Connections break before and after it is certain that the process has ended.
+/// Connections break both before and after the end of the process becomes certain.
 constexpr duration report_delay = std::chrono::milliseconds(50);
-/// A report that no leader could be told of for so long is of no use any more.
+/// A report that reached no leader within this time is discarded.
 constexpr duration report_lifetime = std::chrono::seconds(60);
 
 } // namespace
@@ -57,7 +58,8 @@
     }
 }
 
-/// It may be popular: then it was running at a target that something else has ended.
+/// A recently answered request may be a popular one that was running at a target that another
+/// request crashed.
 bool crash_reporter::answered_before(const lost_run &run) const {
     if (m_answered.empty() || g_defects.ignore_answered) {
         return false;
--- a/src/coordination/ended_incarnations.cpp
+++ b/src/coordination/ended_incarnations.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t most_lives = 64;
-constexpr duration memory = std::chrono::seconds(30); ///< calls come seconds late, not minutes
+constexpr duration memory = std::chrono::seconds(30); ///< calls are delayed by seconds, not minutes
 
 } // namespace
 
--- a/src/coordination/hold_call_scheduler.cpp
+++ b/src/coordination/hold_call_scheduler.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Two renewals that are lost in a row leave time for a third, also where the hold is short.
+/// After two consecutive lost renewals there is time for a third, even within a short hold.
 constexpr int renewals_in_hold = 4;
 
 } // namespace
@@ -30,8 +30,8 @@
     return calls;
 }
 
-/// Follows the map. A span that was cut, joined or moved is another one; what was granted for the
-/// old one stays in `m_granted`.
+/// Updates the wanted spans from the map. A span that was split, joined or moved becomes a new one;
+/// grants of the old span stay in `m_granted`.
 void hold_call_scheduler::update_wanted(const lease_client &lease) {
     std::map<span_key, wanted> next;
     for (const held_span &span : hold_manager::wanted_spans(lease)) {
@@ -54,7 +54,7 @@
     for (const auto &[id, item] : m_in_flight) {
         if (item.call.what == hold_call::kind::grant) {
             if (now < item.begun + m_options.stuck_after) {
-                return; // one at a time: they share a connection
+                return; // one at a time, since they share a connection
             }
             ++unanswered;
         }
@@ -66,7 +66,7 @@
     for (auto &[key, item] : m_wanted) {
         const bool ready = item.renew_at <= now && !item.token_refused_since &&
                            !grant_in_flight(item.span.from, item.span.to);
-        // Keys that nobody serves go before those that are only renewed.
+        // Keys without a holder come before renewals.
         if (ready && (first == nullptr || std::pair(item.was_granted, item.renew_at) <
                                               std::pair(first->was_granted, first->renew_at))) {
             first = &item;
@@ -94,7 +94,7 @@
             m_manager.note_released(range, item.handover);
             continue;
         }
-        // A grant whose answer is awaited may reach the target after the release.
+        // A grant that is still unanswered may reach the target after the release.
         const bool must_call = !item.answered && item.call == 0 && item.retry_at <= now &&
                                !grant_in_flight(span.from, span.to);
         if (must_call) {
@@ -102,7 +102,7 @@
             item.call = calls.back().id;
         }
     }
-    // The end of a release whose range is not to move any more is of no interest.
+    // The result of a release whose move was cancelled is not needed.
     for (const auto &[key, item] : m_releasing) {
         if (current.count(key) == 0) {
             m_in_flight.erase(item.call);
@@ -138,7 +138,7 @@
         return std::nullopt;
     }
     const instant from = g_defects.hold_from_decision ? item.begun : now;
-    // Without an answer the hold counts from the end of the wait for one.
+    // The target may read an unanswered grant as late as the answer timeout.
     const duration length = std::min(m_manager.length(lease, from + m_options.answer_timeout, from),
                                      m_options.max_hold);
     if (length < m_options.min_hold) {
@@ -197,8 +197,8 @@
     if (done) {
         target->was_granted = true;
     } else if (how.result == hold_call_end::kind::token_refused) {
-        // The same token would be refused again. What is believed here is old: the next map brings
-        // another token, or takes the keys away.
+        // The same token would be refused again. This node's map is outdated: the next one brings
+        // another token or removes the keys.
         target->token_refused_since = now;
     } else {
         target->renew_at = now + m_options.retry_delay;
@@ -225,7 +225,7 @@
     }
 }
 
-/// A release that was answered ends what was granted, and answered, before it was written.
+/// An answered release ends those grants that were answered and written before it.
 void hold_call_scheduler::clear_settled_grants(std::uint32_t from, std::uint32_t to,
                                                instant before) {
     std::vector<granted> left;
@@ -317,7 +317,6 @@
     std::erase_if(m_granted, [now](const granted &item) { return item.ends <= now; });
 }
 
-/// How long a hold may run by a clock that lags.
 duration hold_call_scheduler::max_real_length(duration length) const {
     return m_manager.max_real_length(length);
 }
--- a/src/coordination/hold_manager.cpp
+++ b/src/coordination/hold_manager.cpp
@@ -38,7 +38,7 @@
     const auto &announced = lease.announcement();
     const route_map::service_map *ranges =
         announced ? lease.map().find_service(announced->service) : nullptr;
-    // Keys without an owner go to those that have none before the next heartbeat comes.
+    // Unowned keys are assigned to targets without keys before the next heartbeat arrives.
     const bool newcomer = lease.own_ranges().empty();
     return ranges != nullptr && lease.number() != no_target &&
            std::any_of(
--- a/src/coordination/lease_client.cpp
+++ b/src/coordination/lease_client.cpp
@@ -15,18 +15,19 @@
 
 constexpr std::size_t remembered_renewals = 64;
 constexpr std::size_t most_voters = 16;
-constexpr std::size_t most_routing_bytes = 64U << 20U; ///< beyond what operators may send
+constexpr std::size_t most_routing_bytes = 64U << 20U; ///< larger than any table that operators may
+                                                       ///< send
 constexpr duration ask_next_voter_after = std::chrono::milliseconds(20);
-/// For so long a leader that did not answer is asked through others; then directly once more.
+/// A leader that did not answer is reached through other voters for this long, then directly again.
 constexpr duration relay_time = std::chrono::seconds(3);
-/// The first answer to an announcement has no number yet, and no lease: one of the next brings
-/// both. Renewals come so much closer until then.
+/// The first answer to an announcement carries neither number nor lease; a later one brings both.
+/// Until then renewals are sent this many times as often.
 constexpr int registering_renewals = 3;
 constexpr duration least_interval = std::chrono::milliseconds(5);
 
-/// Renewals of different lives of a process are numbered far apart: an answer names nothing but
-/// that number, and one that waited for a connection may reach the life after. It would bring a
-/// lease that runs on here after it has ended at the leader.
+/// Spreads the sequence numbers of a process's incarnations far apart. An answer identifies its
+/// renewal by that number alone, and a delayed one may reach the next incarnation, where it would
+/// bring a lease that outlasts the leader's.
 std::uint64_t first_sequence(std::uint64_t incarnation) {
     constexpr std::uint64_t far_apart = 0x9E3779B97F4A7C15; // 2^64 over the golden ratio
     return incarnation * far_apart;
@@ -46,7 +47,7 @@
                                                            : m_registration;
 }
 
-/// Whether this is not the target, or not the life, that was announced before.
+/// Whether this is a different target or incarnation than the one announced before.
 bool lease_client::is_other(const target_announcement &announcement) const {
     const bool same_life = m_announcement->incarnation == announcement.incarnation ||
                            m_announcement->incarnation == any_incarnation;
@@ -57,13 +58,13 @@
 void lease_client::announce(const target_announcement &announcement, moment at) {
     if (m_announcement && m_number != no_target && is_other(announcement)) {
         give_up(at);
-        return; // the new target is taken on once the old one's lease has ended
+        return; // the new target is accepted once the old one's lease has ended
     }
     if (m_announcement && m_announcement->incarnation != announcement.incarnation) {
         m_lease_until = {};
     }
-    // A new life has nothing to do with the stop of the one before. Held to it, a target that was
-    // started again after its planned stop would never be given keys.
+    // The planned stop of an earlier incarnation does not apply to a new one; otherwise a target
+    // restarted after its planned stop would never be granted keys.
     if (m_retired_target && (m_retired_target->name != announcement.name ||
                              m_retired_target->incarnation != announcement.incarnation)) {
         m_retired = false;
@@ -98,8 +99,8 @@
 }
 
 void lease_client::end_registration() {
-    // A target whose planned stop is done may go on announcing itself until it is switched off;
-    // taking it on again would undo the stop.
+    // A target whose planned stop is complete may keep announcing itself until it is shut down;
+    // registering it again would undo the stop.
     const target_route *own = m_map.find_target(m_number);
     m_retired = own != nullptr && own->phase != target_phase::serving && m_drain_seen;
     m_retired_target = m_retired ? m_announcement : std::nullopt;
@@ -144,7 +145,8 @@
     request.target.number = m_number;
     request.target.incarnation = incarnation();
     request.suspects_version = m_suspects.version();
-    // Once registered, the number says it all: the rest would be half of what a renewal costs.
+    // Once registered, the number identifies the target; the other fields would be half of a
+    // renewal's size.
     if (m_announcement && m_number == no_target) {
         request.target.failure_domain = m_options.failure_domain;
         request.target.node_address = m_options.self;
@@ -178,7 +180,7 @@
     const node_address wanted = address_of(hint);
     auto hinted = std::find(m_voters.begin(), m_voters.end(), wanted);
     if (!hint.empty() && hinted == m_voters.end() && m_voters.size() < most_voters) {
-        // A voter that joined after the settings were written.
+        // A voter that joined after the configuration was written.
         hinted = m_voters.insert(m_voters.end(), wanted);
     }
     if (hinted != m_voters.end()) {
@@ -195,7 +197,7 @@
     change changed;
     const auto sent = m_sent.find(reply.sequence);
     if (sent == m_sent.end()) {
-        return changed; // an answer to an earlier life of this process, or far too late
+        return changed; // an answer to an earlier incarnation of this process, or far too late
     }
     const sent_renewal renewal = sent->second;
     m_sent.erase(sent);
@@ -204,7 +206,7 @@
         const bool silent =
             at.now < m_relay_until && address_of(reply.leader_hint) == m_silent_voter;
         if (!reply.is_leader && silent) {
-            // The leader did not answer a moment ago. This voter will pass the next request on.
+            // The leader timed out recently; this voter will relay the next renewal.
             m_renew_at = at.now + ask_next_voter_after;
         } else if (!reply.is_leader) {
             next_voter(reply.leader_hint, at.now);
@@ -228,7 +230,7 @@
         m_table_confirmed_at = std::max(m_table_confirmed_at, renewal.at);
     }
     if (renewal.incarnation != incarnation()) {
-        return changed; // about a registration that this one does not go on with
+        return changed; // about a registration that the current one does not continue
     }
     if (renewal.number == m_number && reply.registration_lost && m_number != no_target) {
         end_registration();
@@ -236,8 +238,9 @@
         renew_at_next_tick();
     } else if (m_number == no_target && reply.number != no_target && !m_giving_up &&
                renewal.number == no_target && announces(renewal.name, renewal.service)) {
-        // An answer that was overtaken by another target's announcement brings the number of the
-        // target before it: requests, and keys, of the old one would be the new one's.
+        // The renewal must have announced the same target: an answer overtaken by the announcement
+        // of another target carries the old target's number, under which the new target would
+        // receive its requests and keys.
         m_number = reply.number;
         changed.registration = true;
     }
@@ -249,11 +252,12 @@
     return changed;
 }
 
-/// Keeps to the voters in force, which differ from the settings once one was replaced.
+/// Adopts the current voters, which differ from the configured ones once one was replaced.
 void lease_client::follow_voters(const node_address &leader,
                                  const std::vector<node_address> &voters) {
-    // By addresses: a node first knows voters by these alone, and whoever is at a voter's address
-    // now answers for it, also when it has come back without its disk and under another name.
+    // Compares addresses, since a node initially knows voters by these alone. Whoever is at a
+    // voter's address answers for it, even if it has returned without its disk and under another
+    // identity.
     std::vector<node_address> addresses;
     for (const node_address &voter : voters) {
         const node_address address = address_of(voter);
@@ -285,7 +289,7 @@
     m_table = std::move(*next);
     m_table_version = reply.table_version;
     changed.table = true;
-    renew_at_next_tick(); // no lease is granted until the table in force is reported back
+    renew_at_next_tick(); // no lease is granted until this node reports the table in force
 }
 
 void lease_client::take_routes(const renew_reply &reply, change &changed) {
@@ -302,7 +306,7 @@
     }
     m_routes = std::move(*next);
     changed.routes = true;
-    renew_at_next_tick(); // as with the table
+    renew_at_next_tick(); // as for the table of services
 }
 
 std::vector<lease_client::own_range> lease_client::own_ranges() const {
--- a/src/coordination/range_owner.cpp
+++ b/src/coordination/range_owner.cpp
@@ -28,7 +28,7 @@
       m_reply(std::move(reply)), m_memory(options.memory),
       m_standby({.resend_interval = options.resend_interval, .timeout = options.standby_timeout}) {}
 
-// ---- taking requests ----
+// ---- accepting requests ----
 
 caller_response range_owner::refusal(error_kind error) const {
     caller_response response{.result = outcome::not_run, .error = error};
@@ -73,7 +73,7 @@
 void range_owner::serve(const request_id &id, const std::optional<node_address> &from,
                         target_number owner, caller_request request, moment at) {
     if (m_by_id.count(id) != 0) {
-        return; // the network delivered it twice
+        return; // duplicate delivery
     }
     served_request served{.id = id, .from = from, .request = std::move(request)};
     served.hash = key_hash(served.request.key);
@@ -120,7 +120,7 @@
             .response = {}};
 }
 
-/// Answers from memory if the key is known. True if the request was dealt with.
+/// Answers a request whose key is remembered. Returns true if no further handling is needed.
 bool range_owner::check_memory(std::uint64_t serial, moment at) {
     served_request &served = m_served.at(serial);
     const remembered_key *known =
@@ -162,8 +162,8 @@
            found->second.step == recall_step::lost;
 }
 
-/// A request that may run only once: its key is recorded here and with the standby before the
-/// target sees it, so that whoever owns the range next can tell a resend from a first attempt.
+/// Records the key of a request that may run only once, here and with the standby, before the
+/// target receives it. The range's next owner can then tell a resend from a first attempt.
 void range_owner::record_key(std::uint64_t serial, moment at) {
     served_request &served = m_served.at(serial);
     if (check_memory(serial, at)) {
@@ -179,7 +179,7 @@
         return;
     }
     if (memory_lost(*range) && !g_defects.rerun_forgotten) {
-        // It may have run at the lost owner. Saying "not run" or running it would be a guess.
+        // It may have run at the lost owner, so neither "not run" nor running it again is safe.
         finish(serial, {.result = outcome::unknown, .error = error_kind::memory_lost}, at);
         return;
     }
@@ -210,7 +210,7 @@
     }
 }
 
-/// The last look at the lease before the target is called; every wait is behind it.
+/// The last lease check before the target is called; all waiting is done by now.
 void range_owner::start(std::uint64_t serial, moment at) {
     served_request &served = m_served.at(serial);
     const own_range *range = own_range_of(served.hash);
@@ -307,7 +307,7 @@
         m_memory.find(request.request.service, request.request.idempotency_key);
     if (known == nullptr || known->phase != key_phase::running ||
         known->fingerprint != request.fingerprint) {
-        return; // it was answered from memory
+        return; // answered from memory
     }
     if (response.result == outcome::not_run) {
         forget_key(request);
@@ -350,7 +350,7 @@
     m_effects.messages.push_back({*request.from, forward_reply{request.id, std::move(response)}});
 }
 
-/// Answers stay for a while in case the connection that carries them is dead.
+/// Keeps answers for a while in case the connection that carries them is broken.
 void range_owner::keep_finished(const served_request &request, const caller_response &response,
                                 instant now) {
     const auto [place, added] = m_finished.try_emplace(request.id);
@@ -430,7 +430,7 @@
             continue;
         }
         if (found->second.state == phase::attached) {
-            // Its first attempt is running: this caller's question stays open.
+            // The first attempt is still running, so the outcome is unknown for this caller.
             finish(serial, {.result = outcome::unknown, .error = error_kind::deadline_after_target},
                    at);
             continue;
@@ -455,7 +455,8 @@
     } else if (query.owner != m_number || query.age > m_options.fate_retention / 2) {
         answer.fate = request_fate::forgotten;
     } else {
-        // Barred from now on: should it still arrive it is dropped, so "never seen" stays true.
+        // The request is barred: it is dropped if it still arrives, so the reply "never seen" stays
+        // true.
         m_finished[query.id] = {.at = at.now};
         m_finished_order.push_back(query.id);
     }
@@ -475,8 +476,8 @@
             m_memory.put(key);
         }
         const std::uint64_t id = m_next_sequence++;
-        // A loss right after the hand-over must not lose the keys: they count as held once the
-        // standby of this owner holds them too.
+        // A loss right after the handover must not lose the keys, so they count as held only once
+        // this owner's standby holds them too.
         if (m_standby.add_all(request.keys, {standby_waiter::kind::handover, id})) {
             m_handovers_in[id] = {from, request.sequence};
             m_standby.step(m_memory, at.now, m_effects.messages);
@@ -580,7 +581,7 @@
 void range_owner::take_recalled(std::uint64_t first, std::vector<remembered_key> keys, moment at) {
     for (remembered_key &key : keys) {
         if (key.phase == key_phase::running) {
-            key.phase = key_phase::unknown; // it was handed to a target whose answer nobody has
+            key.phase = key_phase::unknown; // sent to a target whose answer is lost
         }
         m_memory.put(key);
     }
@@ -663,7 +664,7 @@
         if (state.token != record.token || state.to != record.next) {
             state = {.token = record.token, .to = record.next};
         }
-        // Keys that are still to be fetched must be here before they can be handed over.
+        // Keys that are still being fetched have to arrive before they can be handed over.
         const bool idle = g_defects.early_release || !busy(range);
         if (state.step == release_step::draining && idle && !recall_pending(range)) {
             hand_over(range, state, at);
@@ -728,7 +729,7 @@
         if (still != nullptr && still->last >= range.last) {
             continue;
         }
-        // A range that was cut may be gone in part only, so each key is looked at by itself.
+        // A split range may be lost only in part, so each key is checked separately.
         for (const remembered_key &key :
              m_memory.in_range(m_lease.announcement() ? m_lease.announcement()->service : "",
                                range.record.first, range.last)) {
@@ -838,7 +839,7 @@
         m_lease.renew_at_next_tick();
     }
     if (m_number != no_target && !m_lease.lease_valid(at.now) && !m_served.empty()) {
-        // Whatever is written now could meet another owner's work.
+        // Any call written now could conflict with another owner's.
         ++m_counters.leases_lapsed;
         stop_serving(at);
     }
--- a/src/coordination/route_map.cpp
+++ b/src/coordination/route_map.cpp
@@ -40,8 +40,8 @@
     if (whole ? update.to <= m_version : update.from != m_version) {
         return false;
     }
-    // Made of an older state than one already seen, as by a leader that was replaced since: it
-    // could bring back the beginning of a move that this node has finished.
+    // The update reflects an older state than one already seen, as from a replaced leader: it could
+    // bring back the start of a move that has already finished here.
     if (update.as_of < m_as_of) {
         return false;
     }
--- a/src/coordination/standby_replicator.cpp
+++ b/src/coordination/standby_replicator.cpp
@@ -21,8 +21,8 @@
         m_address = standby_address;
         return {};
     }
-    // The control state has recorded that the former copy does not count: what waited for it may go
-    // on, since a loss from now on is known to lose these keys.
+    // The control state has recorded that the former copy does not count, so its waiters may
+    // continue: a loss from now on is known to lose these keys.
     m_owner = owner;
     m_standby = own.standby;
     m_epoch = own.standby_epoch;
@@ -94,8 +94,8 @@
         return {};
     }
     if (!reply.held) {
-        // The standby lost its copy: send all again. Waiters go on waiting until that is held, or
-        // until the control state says that it does not count.
+        // The standby lost its copy, so everything is sent again. Waiters keep waiting until that
+        // is held, or until the control state records that the copy does not count.
         m_need_all = true;
         std::vector<standby_waiter> waiters = take_waiters();
         m_pending_waiters = std::move(waiters);
