--- a/include/peppertack/coordination/ended_incarnations.hpp
+++ b/include/peppertack/coordination/ended_incarnations.hpp
@@ -12,11 +12,11 @@
 /// leave. A delayed call of one of them must not register it again. Not thread safe.
 class ended_incarnations {
 public:
-    void note(const target_incarnation &life, instant now);
+    void note(const target_incarnation &incarnation, instant now);
     /// Whether this incarnation has ended. One without a start time has a unique name and stays
     /// ended. One with a start time that still calls after the retention has not ended: a refused
     /// connection was a fault of its node or kernel, and it must not be excluded for good.
-    bool has_ended(const target_incarnation &life, instant now) const;
+    bool has_ended(const target_incarnation &incarnation, instant now) const;
     /// Whether any incarnation of this name has ended within the retention; those without a start
     /// time are never dropped by age.
     bool has_ended_recently(const std::string &name, instant now) const;
@@ -26,13 +26,13 @@
 
 private:
     struct ended_incarnation {
-        target_incarnation life;
+        target_incarnation incarnation;
         instant at{};
     };
 
-    static bool fresh(const ended_incarnation &ended, instant now);
+    static bool is_retained(const ended_incarnation &ended, instant now);
 
-    std::deque<ended_incarnation> m_lives; ///< in order of time
+    std::deque<ended_incarnation> m_ended; ///< in order of time
 };
 
 } // namespace peppertack
--- a/include/peppertack/coordination/hold_manager.hpp
+++ b/include/peppertack/coordination/hold_manager.hpp
@@ -104,9 +104,9 @@
     /// As `state_of`, for a key that the target does not hold yet.
     key_state awaited_state(std::uint64_t hash, const lease_client &lease) const;
     /// End of the last granted hold.
-    instant held_until() const { return m_until; }
+    instant held_until() const { return m_held_until; }
     /// Assumes that the target may hold keys until `until`, although no grant is known.
-    void assume_until(instant until) { m_until = until; }
+    void assume_until(instant until) { m_held_until = until; }
     /// Adds ranges that the target has released to a renewal.
     void fill_report(renew_request &request, const lease_client &lease) const;
     /// Whether a release has not been put into a renewal yet.
@@ -123,8 +123,8 @@
     std::string handover_of(const hold_report &report, const lease_client::own_range &range) const;
 
     options m_options;
-    std::vector<held_span> m_given; ///< granted by the last answer, sorted
-    instant m_until{};
+    std::vector<held_span> m_granted; ///< granted by the last answer, sorted
+    instant m_held_until{};
     std::map<std::uint64_t, release> m_released; ///< by the first hash of the range
     bool m_unreported_release = false;
 };
--- a/include/peppertack/coordination/lease_client.hpp
+++ b/include/peppertack/coordination/lease_client.hpp
@@ -95,13 +95,13 @@
     bool announces(const std::string &name, const std::string &service) const;
 
     std::uint64_t incarnation() const;
-    bool is_other(const target_announcement &announcement) const;
+    bool is_different(const target_announcement &announcement) const;
     void send(moment at, const fill_report &fill, std::vector<outgoing> &messages);
-    void next_voter(const node_address &hint, instant now);
-    void follow_voters(const node_address &leader, const std::vector<node_address> &voters);
+    void switch_voter(const node_address &hint, instant now);
+    void update_voters(const node_address &leader, const std::vector<node_address> &voters);
     void end_registration();
-    void take_table(const renew_reply &reply, change &changed);
-    void take_routes(const renew_reply &reply, change &changed);
+    void apply_table(const renew_reply &reply, change &changed);
+    void apply_routes(const renew_reply &reply, change &changed);
 
     const node_options &m_options;
     std::vector<node_address> m_voters;
@@ -113,8 +113,8 @@
     instant m_lease_until{};
     bool m_giving_up = false;
     bool m_stopping = false;
-    bool m_drain_seen = false; ///< a planned stop of this registration was in progress
-    bool m_retired = false;    ///< the stop is complete and the target has not been absent since
+    bool m_drain_started = false; ///< a planned stop of this registration was in progress
+    bool m_retired = false;       ///< the stop is complete and the target has not been absent since
     std::optional<target_announcement> m_retired_target; ///< target of that stop
     route_map m_map;
     table m_table;
@@ -126,11 +126,11 @@
     std::uint64_t m_sequence; ///< of the last renewal
     std::map<std::uint64_t, sent_renewal> m_sent;
     instant m_renew_at{};
-    instant m_answer_due{};
-    instant m_sent_last{};
-    bool m_waiting = false;
-    node_address m_silent_voter; ///< voter whose reply timed out
-    instant m_relay_until{};     ///< until then renewals ask to be relayed to the leader
+    instant m_reply_due{};
+    instant m_last_sent{};
+    bool m_awaiting_reply = false;
+    node_address m_unresponsive_voter; ///< voter whose reply timed out
+    instant m_relay_until{};           ///< until then renewals ask to be relayed to the leader
     std::uint64_t m_renewed = 0;
 };
 
--- a/include/peppertack/coordination/node_report.hpp
+++ b/include/peppertack/coordination/node_report.hpp
@@ -15,10 +15,10 @@
     std::uint64_t map_version = 0;
     instant heard{};
     // ---- the map update in flight to the node ----
-    std::uint64_t sequence = 0; ///< of the node's last renewal
-    std::uint64_t map_from = 0; ///< version that the node had at `map_at`
-    instant map_at{};           ///< when everything it lacked was last sent
-    duration map_pause{};       ///< delay before that is sent again if the node still lacks it
+    std::uint64_t sequence = 0;  ///< of the node's last renewal
+    std::uint64_t map_from = 0;  ///< version that the node had at `map_at`
+    instant map_at{};            ///< when everything it lacked was last sent
+    duration map_resend_delay{}; ///< delay before that is sent again if the node still lacks it
     // ---- the last routing table delta sent to the node ----
     std::uint64_t routes_from = 0;
     std::uint64_t routes_to = 0;
--- a/include/peppertack/coordination/range_owner.hpp
+++ b/include/peppertack/coordination/range_owner.hpp
@@ -56,7 +56,9 @@
     /// The target's process has ended unexpectedly.
     void target_ended(instant now);
     /// Target crashes that the leader has recorded.
-    void crashes_recorded(const std::vector<std::uint64_t> &lives) { m_crashes.recorded(lives); }
+    void crashes_recorded(const std::vector<std::uint64_t> &incarnations) {
+        m_crashes.recorded(incarnations);
+    }
 
     /// Whether a request for `hash` would be accepted now: the range is owned, is not moving, and
     /// the lease is valid.
@@ -64,7 +66,7 @@
     const admission &admitted() const { return m_admission; }
     const key_memory &memory() const { return m_memory; }
     std::size_t unfinished() const { return m_served.size(); }
-    std::size_t owned_ranges() const { return m_own.size(); }
+    std::size_t owned_ranges() const { return m_own_ranges.size(); }
     std::size_t standby_copies() const { return m_copies.size(); }
 
 private:
@@ -131,21 +133,21 @@
     void start(std::uint64_t serial, moment at);
     void start_queued(moment at);
     void finish(std::uint64_t serial, caller_response response, moment at);
-    void settle_key(const served_request &request, const caller_response &response, moment at);
-    void forget_key(const served_request &request);
-    void wake_attached(const served_request &request, const caller_response &response, moment at);
+    void record_outcome(const served_request &request, const caller_response &response, moment at);
+    void erase_key(const served_request &request);
+    void finish_attached(const served_request &request, const caller_response &response, moment at);
     void keep_finished(const served_request &request, const caller_response &response, instant now);
     void expire_finished(instant now);
     void refuse_waiting(error_kind error, moment at);
     void expire_waiting(moment at);
-    void wake(const std::vector<standby_waiter> &waiters, moment at);
+    void release_waiters(const std::vector<standby_waiter> &waiters, moment at);
     void follow_standby(moment at);
     void rebuild_own_ranges();
     void step_releases(moment at);
-    bool busy(const own_range &range) const;
+    bool has_requests(const own_range &range) const;
     void hand_over(const own_range &range, release &state, moment at);
     void step_recalls(moment at);
-    void take_recalled(std::uint64_t first, std::vector<remembered_key> keys, moment at);
+    void store_recalled_keys(std::uint64_t first, std::vector<remembered_key> keys, moment at);
     void resume_recalling(moment at);
     bool recall_pending(const own_range &range) const;
     bool memory_lost(const own_range &range) const;
@@ -160,10 +162,10 @@
     admission m_admission;
     key_memory m_memory;
     standby_replicator m_standby;
-    hot_key_counter m_hot;
+    hot_key_counter m_hot_keys;
     crash_reporter m_crashes;
     target_number m_number = no_target;
-    std::vector<own_range> m_own; ///< sorted
+    std::vector<own_range> m_own_ranges; ///< sorted
     std::unordered_map<std::uint64_t, served_request> m_served;
     std::map<request_id, std::uint64_t> m_by_id;
     std::map<request_id, finished_request> m_finished;
--- a/include/peppertack/coordination/target_incarnation.hpp
+++ b/include/peppertack/coordination/target_incarnation.hpp
@@ -27,8 +27,9 @@
 
 /// Identifier that distinguishes the registrations of two incarnations. A restarted node finds the
 /// registration of a target that kept running by this alone.
-inline std::uint64_t incarnation_id(const target_incarnation &life) {
-    return key_hash(life.born ? life.name + '\n' + std::to_string(*life.born) : life.name);
+inline std::uint64_t incarnation_id(const target_incarnation &incarnation) {
+    return key_hash(incarnation.born ? incarnation.name + '\n' + std::to_string(*incarnation.born)
+                                     : incarnation.name);
 }
 
 } // namespace peppertack
--- a/src/coordination/crash_reporter.cpp
+++ b/src/coordination/crash_reporter.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr std::size_t most_lost = 512;
-constexpr std::size_t most_reported = 256;
-constexpr std::size_t most_ended = 16;
+constexpr std::size_t max_lost_runs = 512;
+constexpr std::size_t max_running_reported = 256;
+constexpr std::size_t max_ended_processes = 16;
 /// Power of two; ten times the answers of 5 s at 60 requests per second.
-constexpr std::size_t answered_places = 4096;
+constexpr std::size_t answered_slots = 4096;
 /// A request that the local target answered this recently is not taken for the cause of its end.
-constexpr duration acquitted_by_answer = std::chrono::seconds(5);
+constexpr duration acquittal_window = std::chrono::seconds(5);
 /// The answer of a process that has just ended may be read this long after its other connections
 /// broke.
 constexpr duration answer_lag = std::chrono::milliseconds(200);
 /// Requests that broke off longer before the end than this had another cause.
-constexpr duration longest_end = std::chrono::seconds(10);
+constexpr duration max_time_before_end = std::chrono::seconds(10);
 /// Connections break both before and after the end of the process becomes certain.
 constexpr duration report_delay = std::chrono::milliseconds(50);
 /// A report that reached no leader within this time is discarded.
@@ -27,34 +27,36 @@
 
 } // namespace
 
-void crash_reporter::note_answered(std::uint64_t fingerprint, std::uint64_t life,
+void crash_reporter::note_answered(std::uint64_t fingerprint, std::uint64_t incarnation,
                                    const suspect_list &known, instant now) {
-    m_answering = life;
-    m_answered_at = now;
-    m_answered.resize(answered_places);
-    m_answered[fingerprint % answered_places] = {fingerprint, now};
+    m_last_answering = incarnation;
+    m_last_answer_at = now;
+    m_answered.resize(answered_slots);
+    m_answered[fingerprint % answered_slots] = {fingerprint, now};
     if (known.suspects(fingerprint) && !g_defects.ignore_answered) {
         m_acquitted.insert(fingerprint);
     }
 }
 
-void crash_reporter::note_unanswered(std::uint64_t fingerprint, std::uint64_t life, instant now) {
+void crash_reporter::note_unanswered(std::uint64_t fingerprint, std::uint64_t incarnation,
+                                     instant now) {
     if (fingerprint == 0) {
         return;
     }
-    m_lost.push_back({fingerprint, life, now});
-    if (m_lost.size() > most_lost) {
+    m_lost.push_back({fingerprint, incarnation, now});
+    if (m_lost.size() > max_lost_runs) {
         m_lost.pop_front();
     }
 }
 
-void crash_reporter::note_end(const std::string &target, std::uint64_t life, instant now) {
+void crash_reporter::note_end(const std::string &target, std::uint64_t incarnation, instant now) {
     std::erase_if(m_ended,
                   [&](const ended_process &ended) { return ended.at + report_lifetime < now; });
-    const bool known = std::any_of(m_ended.begin(), m_ended.end(),
-                                   [&](const ended_process &ended) { return ended.life == life; });
-    if (!known && m_ended.size() < most_ended) {
-        m_ended.push_back({target, life, now});
+    const bool known = std::any_of(m_ended.begin(), m_ended.end(), [&](const ended_process &ended) {
+        return ended.incarnation == incarnation;
+    });
+    if (!known && m_ended.size() < max_ended_processes) {
+        m_ended.push_back({target, incarnation, now});
     }
 }
 
@@ -64,21 +66,21 @@
     if (m_answered.empty() || g_defects.ignore_answered) {
         return false;
     }
-    const answered_run &answered = m_answered[run.fingerprint % answered_places];
-    return answered.fingerprint == run.fingerprint && run.at < answered.at + acquitted_by_answer;
+    const answered_run &answered = m_answered[run.fingerprint % answered_slots];
+    return answered.fingerprint == run.fingerprint && run.at < answered.at + acquittal_window;
 }
 
 std::vector<std::uint64_t> crash_reporter::running_at_end(const ended_process &ended) const {
-    instant from = ended.at - longest_end;
-    if (m_answering == ended.life) {
-        from = std::max(from, m_answered_at - answer_lag);
+    instant from = ended.at - max_time_before_end;
+    if (m_last_answering == ended.incarnation) {
+        from = std::max(from, m_last_answer_at - answer_lag);
     }
     std::vector<std::uint64_t> running;
     for (auto run = m_lost.rbegin(); run != m_lost.rend(); ++run) {
         const bool known =
             std::find(running.begin(), running.end(), run->fingerprint) != running.end();
-        if (run->life == ended.life && run->at >= from && !known && !answered_before(*run) &&
-            running.size() < most_reported) {
+        if (run->incarnation == ended.incarnation && run->at >= from && !known &&
+            !answered_before(*run) && running.size() < max_running_reported) {
             running.push_back(run->fingerprint);
         }
     }
@@ -92,7 +94,7 @@
             continue;
         }
         crash_report report{
-            .target = ended.target, .life = ended.life, .running = running_at_end(ended)};
+            .target = ended.target, .life = ended.incarnation, .running = running_at_end(ended)};
         if (!report.running.empty()) {
             reports.push_back(std::move(report));
         }
@@ -120,9 +122,10 @@
     request.acquitted.assign(m_acquitted.begin(), m_acquitted.end());
 }
 
-void crash_reporter::recorded(const std::vector<std::uint64_t> &lives) {
+void crash_reporter::recorded(const std::vector<std::uint64_t> &incarnations) {
     const auto listed = [&](const auto &item) {
-        return std::find(lives.begin(), lives.end(), item.life) != lives.end();
+        return std::find(incarnations.begin(), incarnations.end(), item.incarnation) !=
+               incarnations.end();
     };
     std::erase_if(m_ended, listed);
     std::erase_if(m_lost, listed);
--- a/src/coordination/ended_incarnations.cpp
+++ b/src/coordination/ended_incarnations.cpp
@@ -6,37 +6,38 @@
 
 namespace {
 
-constexpr std::size_t most_lives = 64;
-constexpr duration memory = std::chrono::seconds(30); ///< calls are delayed by seconds, not minutes
+constexpr std::size_t max_entries = 64;
+constexpr duration retention =
+    std::chrono::seconds(30); ///< calls are delayed by seconds, not minutes
 
 } // namespace
 
-void ended_incarnations::note(const target_incarnation &life, instant now) {
-    m_lives.push_back({life, now});
-    if (m_lives.size() > most_lives) {
-        m_lives.pop_front();
+void ended_incarnations::note(const target_incarnation &incarnation, instant now) {
+    m_ended.push_back({incarnation, now});
+    if (m_ended.size() > max_entries) {
+        m_ended.pop_front();
     }
 }
 
-bool ended_incarnations::fresh(const ended_incarnation &ended, instant now) {
-    return !ended.life.born || now < ended.at + memory;
+bool ended_incarnations::is_retained(const ended_incarnation &ended, instant now) {
+    return !ended.incarnation.born || now < ended.at + retention;
 }
 
-bool ended_incarnations::has_ended(const target_incarnation &life, instant now) const {
-    return std::any_of(m_lives.begin(), m_lives.end(), [&](const ended_incarnation &ended) {
-        return ended.life == life && fresh(ended, now);
+bool ended_incarnations::has_ended(const target_incarnation &incarnation, instant now) const {
+    return std::any_of(m_ended.begin(), m_ended.end(), [&](const ended_incarnation &ended) {
+        return ended.incarnation == incarnation && is_retained(ended, now);
     });
 }
 
 bool ended_incarnations::has_ended_recently(const std::string &name, instant now) const {
-    return std::any_of(m_lives.begin(), m_lives.end(), [&](const ended_incarnation &ended) {
-        return ended.life.name == name && fresh(ended, now);
+    return std::any_of(m_ended.begin(), m_ended.end(), [&](const ended_incarnation &ended) {
+        return ended.incarnation.name == name && is_retained(ended, now);
     });
 }
 
 bool ended_incarnations::has_known_start(const std::string &name) const {
-    return std::any_of(m_lives.begin(), m_lives.end(), [&](const ended_incarnation &ended) {
-        return ended.life.name == name && ended.life.born;
+    return std::any_of(m_ended.begin(), m_ended.end(), [&](const ended_incarnation &ended) {
+        return ended.incarnation.name == name && ended.incarnation.born;
     });
 }
 
--- a/src/coordination/hold_manager.cpp
+++ b/src/coordination/hold_manager.cpp
@@ -39,11 +39,11 @@
     const route_map::service_map *ranges =
         announced ? lease.map().find_service(announced->service) : nullptr;
     // Unowned keys are assigned to targets without keys before the next heartbeat arrives.
-    const bool newcomer = lease.own_ranges().empty();
+    const bool has_no_keys = lease.own_ranges().empty();
     return ranges != nullptr && lease.number() != no_target &&
            std::any_of(
                ranges->ranges.begin(), ranges->ranges.end(), [&](const range_record &range) {
-                   return range.next == lease.number() || (newcomer && range.owner == no_target);
+                   return range.next == lease.number() || (has_no_keys && range.owner == no_target);
                });
 }
 
@@ -54,12 +54,13 @@
             continue;
         }
         const auto known = m_released.find(range.record.first);
-        const bool again = known != m_released.end() && known->second.token == range.record.token;
+        const bool already_known =
+            known != m_released.end() && known->second.token == range.record.token;
         released[range.record.first] =
-            again && !known->second.handover.empty()
+            already_known && !known->second.handover.empty()
                 ? known->second
                 : release{range.record.token, handover_of(report, range)};
-        m_unreported_release = m_unreported_release || !again;
+        m_unreported_release = m_unreported_release || !already_known;
     }
     m_released = std::move(released);
 }
@@ -92,13 +93,13 @@
         return {};
     }
     const auto left = static_cast<double>((lease.lease_until() - counted_from).count());
-    const duration all(static_cast<duration::rep>(left / (1 + m_options.clock_drift)));
-    return std::min(all - m_options.margin, m_options.max_hold);
+    const duration unshortened(static_cast<duration::rep>(left / (1 + m_options.clock_drift)));
+    return std::min(unshortened - m_options.margin, m_options.max_hold);
 }
 
 duration hold_manager::max_real_length(duration length) const {
-    const double lagging = static_cast<double>(length.count()) * (1 + m_options.clock_drift);
-    return duration(static_cast<duration::rep>(lagging)) + m_options.margin;
+    const double on_slow_clock = static_cast<double>(length.count()) * (1 + m_options.clock_drift);
+    return duration(static_cast<duration::rep>(on_slow_clock)) + m_options.margin;
 }
 
 void hold_manager::note_released(const lease_client::own_range &range,
@@ -117,7 +118,7 @@
 }
 
 hold_grant hold_manager::grant(const lease_client &lease, instant received, instant now) {
-    m_given.clear();
+    m_granted.clear();
     if (!lease.lease_valid(now)) {
         return {};
     }
@@ -132,14 +133,14 @@
         }
     }
     result.renews = true;
-    m_given = result.holds;
-    m_until = received + result.length;
+    m_granted = result.holds;
+    m_held_until = received + result.length;
     return result;
 }
 
 void hold_manager::reset() {
-    m_given.clear();
-    m_until = {};
+    m_granted.clear();
+    m_held_until = {};
     m_released.clear();
     m_unreported_release = false;
 }
@@ -147,10 +148,10 @@
 hold_manager::key_state hold_manager::state_of(std::uint64_t hash, const lease_client &lease,
                                                instant now) const {
     const std::uint32_t key = ordered_key_at(hash);
-    const bool given = std::any_of(m_given.begin(), m_given.end(), [key](const held_span &span) {
-        return span.from <= key && key <= span.to;
-    });
-    if (given && now < m_until - m_options.margin && lease.lease_valid(now)) {
+    const bool given =
+        std::any_of(m_granted.begin(), m_granted.end(),
+                    [key](const held_span &span) { return span.from <= key && key <= span.to; });
+    if (given && now < m_held_until - m_options.margin && lease.lease_valid(now)) {
         return key_state::held;
     }
     return awaited_state(hash, lease);
--- a/src/coordination/lease_client.cpp
+++ b/src/coordination/lease_client.cpp
@@ -13,24 +13,24 @@
 
 namespace {
 
-constexpr std::size_t remembered_renewals = 64;
-constexpr std::size_t most_voters = 16;
-constexpr std::size_t most_routing_bytes = 64U << 20U; ///< larger than any table that operators may
-                                                       ///< send
-constexpr duration ask_next_voter_after = std::chrono::milliseconds(20);
+constexpr std::size_t max_pending_renewals = 64;
+constexpr std::size_t max_voters = 16;
+constexpr std::size_t max_routing_bytes = 64U << 20U; ///< larger than any table that operators may
+                                                      ///< send
+constexpr duration switch_voter_delay = std::chrono::milliseconds(20);
 /// A leader that did not answer is reached through other voters for this long, then directly again.
-constexpr duration relay_time = std::chrono::seconds(3);
+constexpr duration relay_duration = std::chrono::seconds(3);
 /// The first answer to an announcement carries neither number nor lease; a later one brings both.
 /// Until then renewals are sent this many times as often.
-constexpr int registering_renewals = 3;
-constexpr duration least_interval = std::chrono::milliseconds(5);
+constexpr int registering_renewal_factor = 3;
+constexpr duration min_renew_interval = std::chrono::milliseconds(5);
 
 /// Spreads the sequence numbers of a process's incarnations far apart. An answer identifies its
 /// renewal by that number alone, and a delayed one may reach the next incarnation, where it would
 /// bring a lease that outlasts the leader's.
 std::uint64_t first_sequence(std::uint64_t incarnation) {
-    constexpr std::uint64_t far_apart = 0x9E3779B97F4A7C15; // 2^64 over the golden ratio
-    return incarnation * far_apart;
+    constexpr std::uint64_t sequence_stride = 0x9E3779B97F4A7C15; // 2^64 over the golden ratio
+    return incarnation * sequence_stride;
 }
 
 } // namespace
@@ -48,15 +48,15 @@
 }
 
 /// Whether this is a different target or incarnation than the one announced before.
-bool lease_client::is_other(const target_announcement &announcement) const {
-    const bool same_life = m_announcement->incarnation == announcement.incarnation ||
-                           m_announcement->incarnation == any_incarnation;
+bool lease_client::is_different(const target_announcement &announcement) const {
+    const bool same_incarnation = m_announcement->incarnation == announcement.incarnation ||
+                                  m_announcement->incarnation == any_incarnation;
     return m_announcement->name != announcement.name ||
-           m_announcement->service != announcement.service || !same_life;
+           m_announcement->service != announcement.service || !same_incarnation;
 }
 
 void lease_client::announce(const target_announcement &announcement, moment at) {
-    if (m_announcement && m_number != no_target && is_other(announcement)) {
+    if (m_announcement && m_number != no_target && is_different(announcement)) {
         give_up(at);
         return; // the new target is accepted once the old one's lease has ended
     }
@@ -102,9 +102,9 @@
     // A target whose planned stop is complete may keep announcing itself until it is shut down;
     // registering it again would undo the stop.
     const target_route *own = m_map.find_target(m_number);
-    m_retired = own != nullptr && own->phase != target_phase::serving && m_drain_seen;
+    m_retired = own != nullptr && own->phase != target_phase::serving && m_drain_started;
     m_retired_target = m_retired ? m_announcement : std::nullopt;
-    m_drain_seen = false;
+    m_drain_started = false;
     m_number = no_target;
     m_lease_until = {};
     ++m_registration;
@@ -119,16 +119,16 @@
         give_up(at);
     }
     if (const target_route *own = m_map.find_target(m_number)) {
-        m_drain_seen = m_drain_seen || own->phase == target_phase::draining;
+        m_drain_started = m_drain_started || own->phase == target_phase::draining;
     }
-    if (m_waiting && at.now >= m_answer_due) {
-        m_silent_voter = m_voters[m_voter];
-        m_relay_until = at.now + relay_time;
-        next_voter({}, at.now);
-        m_waiting = false;
+    if (m_awaiting_reply && at.now >= m_reply_due) {
+        m_unresponsive_voter = m_voters[m_voter];
+        m_relay_until = at.now + relay_duration;
+        switch_voter({}, at.now);
+        m_awaiting_reply = false;
         renew_at_next_tick();
     }
-    if (at.now >= m_renew_at && m_sent_last + least_interval <= at.now) {
+    if (at.now >= m_renew_at && m_last_sent + min_renew_interval <= at.now) {
         send(at, fill, messages);
     }
 }
@@ -163,23 +163,23 @@
         m_sent[m_sequence].name = m_announcement->name;
         m_sent[m_sequence].service = m_announcement->service;
     }
-    if (m_sent.size() > remembered_renewals) {
+    if (m_sent.size() > max_pending_renewals) {
         m_sent.erase(m_sent.begin());
     }
-    m_sent_last = at.now;
+    m_last_sent = at.now;
     const bool registering = m_announcement && m_number == no_target;
-    m_renew_at = at.now + m_options.renew_interval / (registering ? registering_renewals : 1);
-    if (!m_waiting) {
-        m_waiting = true;
-        m_answer_due = at.now + m_options.renew_timeout;
+    m_renew_at = at.now + m_options.renew_interval / (registering ? registering_renewal_factor : 1);
+    if (!m_awaiting_reply) {
+        m_awaiting_reply = true;
+        m_reply_due = at.now + m_options.renew_timeout;
     }
     messages.push_back({m_voters[m_voter], std::move(request)});
 }
 
-void lease_client::next_voter(const node_address &hint, instant now) {
+void lease_client::switch_voter(const node_address &hint, instant now) {
     const node_address wanted = address_of(hint);
     auto hinted = std::find(m_voters.begin(), m_voters.end(), wanted);
-    if (!hint.empty() && hinted == m_voters.end() && m_voters.size() < most_voters) {
+    if (!hint.empty() && hinted == m_voters.end() && m_voters.size() < max_voters) {
         // A voter that joined after the configuration was written.
         hinted = m_voters.insert(m_voters.end(), wanted);
     }
@@ -189,7 +189,7 @@
         return;
     }
     m_voter = (m_voter + 1) % m_voters.size();
-    m_renew_at = now + ask_next_voter_after;
+    m_renew_at = now + switch_voter_delay;
 }
 
 lease_client::change lease_client::receive(const node_address &from, const renew_reply &reply,
@@ -202,23 +202,23 @@
     const sent_renewal renewal = sent->second;
     m_sent.erase(sent);
     if (address_of(from) == m_voters[m_voter]) {
-        m_waiting = false;
+        m_awaiting_reply = false;
         const bool silent =
-            at.now < m_relay_until && address_of(reply.leader_hint) == m_silent_voter;
+            at.now < m_relay_until && address_of(reply.leader_hint) == m_unresponsive_voter;
         if (!reply.is_leader && silent) {
             // The leader timed out recently; this voter will relay the next renewal.
-            m_renew_at = at.now + ask_next_voter_after;
+            m_renew_at = at.now + switch_voter_delay;
         } else if (!reply.is_leader) {
-            next_voter(reply.leader_hint, at.now);
+            switch_voter(reply.leader_hint, at.now);
         }
     }
     if (!reply.is_leader) {
         return changed;
     }
-    follow_voters(from, reply.voters);
+    update_voters(from, reply.voters);
     changed.map = m_map.apply(reply.map);
-    take_table(reply, changed);
-    take_routes(reply, changed);
+    apply_table(reply, changed);
+    apply_routes(reply, changed);
     if (reply.suspects_version > m_suspects.version()) {
         m_suspects.replace(reply.suspects_version, reply.suspects);
         changed.suspects = true;
@@ -245,15 +245,15 @@
         changed.registration = true;
     }
     if (reply.lease > duration{} && reply.number == m_number && !m_giving_up) {
-        const instant from_when = g_defects.lease_from_receipt ? at.now : renewal.at;
-        m_lease_until = std::max(m_lease_until, from_when + m_options.lease.node_length());
+        const instant counted_from = g_defects.lease_from_receipt ? at.now : renewal.at;
+        m_lease_until = std::max(m_lease_until, counted_from + m_options.lease.node_length());
         ++m_renewed;
     }
     return changed;
 }
 
 /// Adopts the current voters, which differ from the configured ones once one was replaced.
-void lease_client::follow_voters(const node_address &leader,
+void lease_client::update_voters(const node_address &leader,
                                  const std::vector<node_address> &voters) {
     // Compares addresses, since a node initially knows voters by these alone. Whoever is at a
     // voter's address answers for it, even if it has returned without its disk and under another
@@ -277,7 +277,7 @@
     return {.map = m_map.apply(update)};
 }
 
-void lease_client::take_table(const renew_reply &reply, change &changed) {
+void lease_client::apply_table(const renew_reply &reply, change &changed) {
     if (reply.table_version <= m_table_version) {
         return;
     }
@@ -292,11 +292,11 @@
     renew_at_next_tick(); // no lease is granted until this node reports the table in force
 }
 
-void lease_client::take_routes(const renew_reply &reply, change &changed) {
+void lease_client::apply_routes(const renew_reply &reply, change &changed) {
     if (reply.routes_version <= m_routes.version || reply.routes.empty()) {
         return;
     }
-    const std::optional<std::string> text = unpack(reply.routes, most_routing_bytes);
+    const std::optional<std::string> text = unpack(reply.routes, max_routing_bytes);
     std::string reason = text ? "made for another version" : "damaged or too large";
     const std::optional<routing_delta> delta = text ? decode_delta(*text, reason) : std::nullopt;
     std::optional<routing_table> next = delta ? apply(m_routes, *delta) : std::nullopt;
--- a/src/coordination/node_report.cpp
+++ b/src/coordination/node_report.cpp
@@ -10,10 +10,10 @@
 constexpr duration routes_resend_after = std::chrono::milliseconds(900);
 /// The same for the map.
 constexpr duration map_resend_after = std::chrono::milliseconds(900);
-constexpr duration longest_map_pause = std::chrono::seconds(4);
+constexpr duration max_map_resend_delay = std::chrono::seconds(4);
 /// Renewals of one incarnation of a node are numbered consecutively; other incarnations' numbers
 /// are far apart from them.
-constexpr std::uint64_t same_life_renewals = 1'000'000;
+constexpr std::uint64_t same_incarnation_renewals = 1'000'000;
 
 } // namespace
 
@@ -22,15 +22,16 @@
 /// whose 200 nodes all return from a power loss would queue more than its memory, and the nodes'
 /// links would carry nothing else for seconds.
 std::uint64_t node_report::map_base(const renew_request &request, moment at) {
-    const bool same_life = sequence < request.sequence + same_life_renewals &&
-                           request.sequence < sequence + same_life_renewals;
-    const bool same_base = same_life && request.map_version == map_from;
+    const bool same_incarnation = sequence < request.sequence + same_incarnation_renewals &&
+                                  request.sequence < sequence + same_incarnation_renewals;
+    const bool same_base = same_incarnation && request.map_version == map_from;
     sequence = request.sequence;
-    if (same_base && map_version > map_from && at.now < map_at + map_pause) {
+    if (same_base && map_version > map_from && at.now < map_at + map_resend_delay) {
         return map_version;
     }
     // An update lost with its connection is sent again, with exponential backoff for slow links.
-    map_pause = same_base ? std::min(map_pause * 2, longest_map_pause) : map_resend_after;
+    map_resend_delay =
+        same_base ? std::min(map_resend_delay * 2, max_map_resend_delay) : map_resend_after;
     map_from = request.map_version;
     map_at = at.now;
     return map_from;
--- a/src/coordination/range_owner.cpp
+++ b/src/coordination/range_owner.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr duration retry_soon = std::chrono::milliseconds(50);
-constexpr std::size_t hot_keys_reported = 8;
-constexpr std::size_t loads_reported = 64;
+constexpr duration refusal_retry_delay = std::chrono::milliseconds(50);
+constexpr std::size_t max_hot_keys_reported = 8;
+constexpr std::size_t max_loads_reported = 64;
 constexpr duration copy_retention = std::chrono::minutes(20);
-constexpr duration longest_lease_slack = std::chrono::hours(1);
+constexpr duration ignored_lease_slack = std::chrono::hours(1);
 
 bool runs_once(const caller_request &request) {
     return !request.repeatable && !request.idempotency_key.empty();
@@ -32,15 +32,15 @@
 
 caller_response range_owner::refusal(error_kind error) const {
     caller_response response{.result = outcome::not_run, .error = error};
-    response.retry_after = retry_soon;
+    response.retry_after = refusal_retry_delay;
     return response;
 }
 
 const range_owner::own_range *range_owner::own_range_of(std::uint64_t hash) const {
     const auto after = std::upper_bound(
-        m_own.begin(), m_own.end(), hash,
+        m_own_ranges.begin(), m_own_ranges.end(), hash,
         [](std::uint64_t value, const own_range &range) { return value < range.record.first; });
-    if (after == m_own.begin()) {
+    if (after == m_own_ranges.begin()) {
         return nullptr;
     }
     const own_range &range = *std::prev(after);
@@ -50,9 +50,9 @@
 std::optional<caller_response> range_owner::check_owner(const served_request &request,
                                                         target_number owner, instant now) {
     const own_range *range = own_range_of(request.hash);
-    const bool mine = range != nullptr && owner == m_number && m_lease.announcement() &&
-                      request.request.service == m_lease.announcement()->service;
-    if (!mine) {
+    const bool is_owner = range != nullptr && owner == m_number && m_lease.announcement() &&
+                          request.request.service == m_lease.announcement()->service;
+    if (!is_owner) {
         return refusal(error_kind::not_owner);
     }
     if (!m_lease.lease_valid(now)) {
@@ -97,7 +97,7 @@
     }
     served.token = own_range_of(served.hash)->record.token;
     ++m_range_requests[own_range_of(served.hash)->record.first];
-    m_hot.count(served.hash);
+    m_hot_keys.count(served.hash);
     const std::uint64_t serial = m_next_serial++;
     m_by_id[id] = serial;
     const bool keyed = served.keyed;
@@ -229,7 +229,7 @@
     served.started = at.now;
     instant not_after = std::min(m_lease.lease_until(), served.deadline);
     if (g_defects.ignore_lease_before_write) {
-        not_after = served.deadline + longest_lease_slack;
+        not_after = served.deadline + ignored_lease_slack;
     }
     target_call call{.call = serial,
                      .request = served.request,
@@ -293,16 +293,16 @@
     const bool recorded =
         served.keyed && served.state != phase::attached && served.state != phase::recalling;
     if (recorded) {
-        settle_key(served, response, at);
+        record_outcome(served, response, at);
     }
     reply(served, response, at);
     if (recorded) {
-        wake_attached(served, response, at);
+        finish_attached(served, response, at);
     }
 }
 
-void range_owner::settle_key(const served_request &request, const caller_response &response,
-                             moment at) {
+void range_owner::record_outcome(const served_request &request, const caller_response &response,
+                                 moment at) {
     const remembered_key *known =
         m_memory.find(request.request.service, request.request.idempotency_key);
     if (known == nullptr || known->phase != key_phase::running ||
@@ -310,7 +310,7 @@
         return; // answered from memory
     }
     if (response.result == outcome::not_run) {
-        forget_key(request);
+        erase_key(request);
         return;
     }
     remembered_key key =
@@ -321,13 +321,13 @@
     m_standby.add(key, std::nullopt);
 }
 
-void range_owner::forget_key(const served_request &request) {
+void range_owner::erase_key(const served_request &request) {
     m_memory.erase(request.request.service, request.request.idempotency_key);
     m_standby.add(key_of(request, key_phase::erased, 0), std::nullopt);
 }
 
-void range_owner::wake_attached(const served_request &request, const caller_response &response,
-                                moment at) {
+void range_owner::finish_attached(const served_request &request, const caller_response &response,
+                                  moment at) {
     std::vector<std::uint64_t> attached;
     for (const auto &[serial, other] : m_served) {
         if (other.state == phase::attached && other.request.service == request.request.service &&
@@ -513,7 +513,7 @@
 
 void range_owner::receive(const node_address &, const remember_reply &reply, moment at) {
     if (!reply.handover) {
-        wake(m_standby.receive(reply), at);
+        release_waiters(m_standby.receive(reply), at);
         return;
     }
     for (auto &[first, state] : m_releases) {
@@ -527,7 +527,7 @@
     }
 }
 
-void range_owner::wake(const std::vector<standby_waiter> &waiters, moment at) {
+void range_owner::release_waiters(const std::vector<standby_waiter> &waiters, moment at) {
     for (const standby_waiter &waiter : waiters) {
         if (waiter.what == standby_waiter::kind::request) {
             const auto found = m_served.find(waiter.id);
@@ -568,7 +568,7 @@
     for (auto &[first, state] : m_recalls) {
         if (state.sequence == reply.sequence && state.step == recall_step::asking) {
             if (reply.held) {
-                take_recalled(first, reply.keys, at);
+                store_recalled_keys(first, reply.keys, at);
             } else {
                 state.step = recall_step::lost;
             }
@@ -578,7 +578,8 @@
     }
 }
 
-void range_owner::take_recalled(std::uint64_t first, std::vector<remembered_key> keys, moment at) {
+void range_owner::store_recalled_keys(std::uint64_t first, std::vector<remembered_key> keys,
+                                      moment at) {
     for (remembered_key &key : keys) {
         if (key.phase == key_phase::running) {
             key.phase = key_phase::unknown; // sent to a target whose answer is lost
@@ -610,7 +611,7 @@
 }
 
 void range_owner::step_recalls(moment at) {
-    for (const own_range &range : m_own) {
+    for (const own_range &range : m_own_ranges) {
         const range_record &record = range.record;
         if (record.memory != range_memory::fetch) {
             continue;
@@ -635,7 +636,7 @@
             if (copy == m_copies.end()) {
                 state.step = recall_step::lost;
             } else {
-                take_recalled(
+                store_recalled_keys(
                     record.first,
                     copy->second.keys.in_range(request.service, request.first, request.last), at);
             }
@@ -648,14 +649,14 @@
 
 // ---- planned moves ----
 
-bool range_owner::busy(const own_range &range) const {
+bool range_owner::has_requests(const own_range &range) const {
     return std::any_of(m_served.begin(), m_served.end(), [&](const auto &item) {
         return item.second.hash >= range.record.first && item.second.hash <= range.last;
     });
 }
 
 void range_owner::step_releases(moment at) {
-    for (const own_range &range : m_own) {
+    for (const own_range &range : m_own_ranges) {
         const range_record &record = range.record;
         if (record.next == no_target) {
             continue;
@@ -665,7 +666,7 @@
             state = {.token = record.token, .to = record.next};
         }
         // Keys that are still being fetched have to arrive before they can be handed over.
-        const bool idle = g_defects.early_release || !busy(range);
+        const bool idle = g_defects.early_release || !has_requests(range);
         if (state.step == release_step::draining && idle && !recall_pending(range)) {
             hand_over(range, state, at);
         } else if (state.step == release_step::handing_over &&
@@ -697,7 +698,7 @@
 // ---- following the control state ----
 
 void range_owner::rebuild_own_ranges() {
-    m_own.clear();
+    m_own_ranges.clear();
     const std::optional<target_announcement> &target = m_lease.announcement();
     const route_map::service_map *map =
         target ? m_lease.map().find_service(target->service) : nullptr;
@@ -706,13 +707,13 @@
     }
     for (std::size_t i = 0; i < map->ranges.size(); ++i) {
         if (map->ranges[i].owner == m_number) {
-            m_own.push_back({map->ranges[i], map->last_hash(i)});
+            m_own_ranges.push_back({map->ranges[i], map->last_hash(i)});
         }
     }
 }
 
 void range_owner::map_changed(moment at) {
-    const std::vector<own_range> before = m_own;
+    const std::vector<own_range> before = m_own_ranges;
     rebuild_own_ranges();
     std::erase_if(m_releases, [&](const auto &item) {
         const own_range *range = own_range_of(item.first);
@@ -750,7 +751,8 @@
         return;
     }
     const target_route *standby = m_lease.map().find_target(own->standby);
-    wake(m_standby.follow(m_number, *own, standby == nullptr ? "" : standby->address), at);
+    release_waiters(m_standby.follow(m_number, *own, standby == nullptr ? "" : standby->address),
+                    at);
     m_standby.step(m_memory, at.now, m_effects.messages);
 }
 
@@ -777,7 +779,7 @@
     m_recalls.clear();
     m_copies.clear();
     m_handovers_in.clear();
-    wake(m_standby.reset(), at);
+    release_waiters(m_standby.reset(), at);
     table_changed();
     map_changed(at);
 }
@@ -819,16 +821,16 @@
     const double seconds =
         std::chrono::duration<double>(std::max(now - m_loads_sent, duration(1))).count();
     m_loads_sent = now;
-    for (const own_range &range : m_own) {
+    for (const own_range &range : m_own_ranges) {
         const auto count = m_range_requests.find(range.record.first);
         const double requests = count == m_range_requests.end() ? 0 : count->second;
-        if (request.loads.size() < loads_reported) {
+        if (request.loads.size() < max_loads_reported) {
             request.loads.push_back(
                 {range.record.first, static_cast<std::uint32_t>(requests / seconds)});
         }
     }
     m_range_requests.clear();
-    request.hot_keys = m_hot.take(hot_keys_reported);
+    request.hot_keys = m_hot_keys.take(max_hot_keys_reported);
     for (hot_key &key : request.hot_keys) {
         key.requests = static_cast<std::uint32_t>(key.requests / seconds);
     }
--- a/tests/coordination/crash_reporter_test.cpp
+++ b/tests/coordination/crash_reporter_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint64_t life = 7;
+constexpr std::uint64_t incarnation = 7;
 constexpr std::uint64_t cause = 1;
 constexpr std::uint64_t popular = 2;
 
@@ -17,24 +17,24 @@
 
 TEST_CASE("broken connections are reported only once the target has ended") {
     crash_reporter watch;
-    watch.note_unanswered(cause, life, start);
+    watch.note_unanswered(cause, incarnation, start);
     CHECK(watch.due(start + 10s).empty());
-    watch.note_end("t", life, start + 10s);
+    watch.note_end("t", incarnation, start + 10s);
     CHECK(watch.due(start + 10s).empty()); // others may break in this moment
-    watch.note_unanswered(cause + 4, life, start + 10s + 1ms);
+    watch.note_unanswered(cause + 4, incarnation, start + 10s + 1ms);
     const auto due = watch.due(start + 11s);
     REQUIRE(due.size() == 1);
-    CHECK(due[0] == crash_report{"t", life, {cause + 4, cause}});
-    watch.recorded({life});
+    CHECK(due[0] == crash_report{"t", incarnation, {cause + 4, cause}});
+    watch.recorded({incarnation});
     CHECK(watch.due(start + 12s).empty());
 }
 
 TEST_CASE("runs that broke off before the target answered others are not reported with its end") {
     crash_reporter watch;
-    watch.note_unanswered(popular, life, start);
-    watch.note_answered(popular + 1, life, {}, start + 1s);
-    watch.note_unanswered(cause, life, start + 1s);
-    watch.note_end("t", life, start + 5s);
+    watch.note_unanswered(popular, incarnation, start);
+    watch.note_answered(popular + 1, incarnation, {}, start + 1s);
+    watch.note_unanswered(cause, incarnation, start + 1s);
+    watch.note_end("t", incarnation, start + 5s);
     const auto due = watch.due(start + 6s);
     REQUIRE(due.size() == 1);
     CHECK(due[0].running == std::vector<std::uint64_t>{cause});
@@ -42,17 +42,17 @@
 
 TEST_CASE("runs of another life of the target are not reported with this one") {
     crash_reporter watch;
-    watch.note_unanswered(cause, life + 1, start);
-    watch.note_end("t", life, start);
+    watch.note_unanswered(cause, incarnation + 1, start);
+    watch.note_end("t", incarnation, start);
     CHECK(watch.due(start + 1s).empty());
 }
 
 TEST_CASE("a request that the target has just answered did not end it") {
     crash_reporter watch;
-    watch.note_answered(popular, life, {}, start);
-    watch.note_unanswered(popular, life, start + 1s);
-    watch.note_unanswered(cause, life, start + 1s);
-    watch.note_end("t", life, start + 1s);
+    watch.note_answered(popular, incarnation, {}, start);
+    watch.note_unanswered(popular, incarnation, start + 1s);
+    watch.note_unanswered(cause, incarnation, start + 1s);
+    watch.note_end("t", incarnation, start + 1s);
     const auto due = watch.due(start + 2s);
     REQUIRE(due.size() == 1);
     CHECK(due[0].running == std::vector<std::uint64_t>{cause});
@@ -60,16 +60,16 @@
 
 TEST_CASE("a request without a fingerprint is never under suspicion") {
     crash_reporter watch;
-    watch.note_unanswered(0, life, start);
-    watch.note_end("t", life, start);
+    watch.note_unanswered(0, incarnation, start);
+    watch.note_end("t", incarnation, start);
     CHECK(watch.due(start + 1s).empty());
 }
 
 TEST_CASE("a report that no leader takes is given up in the end") {
     crash_reporter watch;
-    watch.note_unanswered(cause, life, start);
-    watch.note_end("t", life, start);
-    watch.note_end("u", life + 1, start + 1h);
+    watch.note_unanswered(cause, incarnation, start);
+    watch.note_end("t", incarnation, start);
+    watch.note_end("u", incarnation + 1, start + 1h);
     CHECK(watch.due(start + 1h + 1s).empty());
 }
 
@@ -77,8 +77,8 @@
     crash_reporter watch;
     suspect_list known;
     known.replace(1, {{cause, false}});
-    watch.note_answered(cause, life, known, start);
-    watch.note_answered(popular, life, known, start);
+    watch.note_answered(cause, incarnation, known, start);
+    watch.note_answered(popular, incarnation, known, start);
     renew_request request;
     for (int i = 0; i < 2; ++i) {
         watch.fill_report(request, known, start);
@@ -91,9 +91,9 @@
 
 TEST_CASE("a report does not wait for the next renewal") {
     crash_reporter watch;
-    watch.note_unanswered(cause, life, start);
+    watch.note_unanswered(cause, incarnation, start);
     CHECK_FALSE(watch.urgent(start + 1s));
-    watch.note_end("t", life, start);
+    watch.note_end("t", incarnation, start);
     CHECK(watch.urgent(start + 1s));
     renew_request request;
     watch.fill_report(request, {}, start + 1s);
