--- a/include/peppertack/coordination/crash_reporter.hpp
+++ b/include/peppertack/coordination/crash_reporter.hpp
@@ -30,7 +30,7 @@
     /// Reports whose delay has passed and that are not known to be recorded by the leader.
     std::vector<crash_report> due(instant now) const;
     /// Whether a due report has not been put into a renewal yet.
-    bool urgent(instant now) const;
+    bool has_unsent_report(instant now) const;
     void fill_report(renew_request &request, const suspect_list &known, instant now);
     /// Drops the reports for incarnations whose ends the leader has recorded.
     void recorded(const std::vector<std::uint64_t> &incarnations);
--- a/src/coordination/crash_reporter.cpp
+++ b/src/coordination/crash_reporter.cpp
@@ -102,7 +102,7 @@
     return reports;
 }
 
-bool crash_reporter::urgent(instant now) const {
+bool crash_reporter::has_unsent_report(instant now) const {
     return std::any_of(m_ended.begin(), m_ended.end(), [&](const ended_process &ended) {
         return !ended.reported && ended.at + report_delay <= now;
     });
--- a/src/coordination/range_owner.cpp
+++ b/src/coordination/range_owner.cpp
@@ -837,7 +837,7 @@
 }
 
 void range_owner::tick(moment at) {
-    if (m_crashes.urgent(at.now)) {
+    if (m_crashes.has_unsent_report(at.now)) {
         m_lease.renew_at_next_tick();
     }
     if (m_number != no_target && !m_lease.lease_valid(at.now) && !m_served.empty()) {
--- a/tests/coordination/crash_reporter_test.cpp
+++ b/tests/coordination/crash_reporter_test.cpp
@@ -92,11 +92,11 @@
 TEST_CASE("a report does not wait for the next renewal") {
     crash_reporter watch;
     watch.note_unanswered(cause, incarnation, start);
-    CHECK_FALSE(watch.urgent(start + 1s));
+    CHECK_FALSE(watch.has_unsent_report(start + 1s));
     watch.note_end("t", incarnation, start);
-    CHECK(watch.urgent(start + 1s));
+    CHECK(watch.has_unsent_report(start + 1s));
     renew_request request;
     watch.fill_report(request, {}, start + 1s);
     CHECK(request.crashes.size() == 1);
-    CHECK_FALSE(watch.urgent(start + 1s));
+    CHECK_FALSE(watch.has_unsent_report(start + 1s));
 }
