--- a/include/peppertack/coordination/node_report.hpp
+++ b/include/peppertack/coordination/node_report.hpp
@@ -13,7 +13,7 @@
     target_number number = no_target;
     std::uint64_t table_version = 0;
     std::uint64_t map_version = 0;
-    instant heard{};
+    instant last_renewal_at{};
     // ---- the map update in flight to the node ----
     std::uint64_t sequence = 0;  ///< of the node's last renewal
     std::uint64_t map_from = 0;  ///< version that the node had at `map_at`
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -432,7 +432,7 @@
     node.number = request.target.number;
     node.table_version = request.table_version;
     node.map_version = reply.map.to;
-    node.heard = at.now;
+    node.last_renewal_at = at.now;
     const bool routes_current = request.routes_version == m_state.routes().version;
     if (!routes_current && node.routes_due(request.routes_version, m_state.routes().version, at)) {
         reply.routes = m_routes.packed_since(request.routes_version, m_state.routes());
