--- a/src/transport/traffic/node_agent.cpp
+++ b/src/transport/traffic/node_agent.cpp
@@ -142,7 +142,7 @@
             announce(at); // an earlier registration had to end first
         }
     }
-    if (m_crashes.urgent(at.now)) {
+    if (m_crashes.has_unsent_report(at.now)) {
         m_lease.renew_at_next_tick();
     }
     std::vector<outgoing> messages;
