--- a/tests/coordination/crash_fuzz.cpp
+++ b/tests/coordination/crash_fuzz.cpp
@@ -11,9 +11,10 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t nodes = 5;
-constexpr std::uint64_t popular_contents = 12; ///< popular contents
+constexpr std::uint64_t popular_contents = 12;
 constexpr std::size_t crashes_until_quarantine = 3;
-constexpr std::ptrdiff_t max_late_crashes = 3; ///< allowed once what was learnt has spread
+constexpr std::ptrdiff_t max_late_crashes = 3; ///< allowed after the quarantine has reached every
+                                               ///< node
 constexpr duration propagation_time = 3s;
 
 class crash_sequence {
@@ -26,7 +27,7 @@
         while (m_world->now() < until) {
             step();
         }
-        // The last evidence may still be on its way.
+        // The last crash reports may still be in flight.
         m_world->run(5s);
         return violation();
     }
@@ -56,8 +57,8 @@
             m_world->submit_content(m_random() % nodes, 4, world::crashing_content);
         }
         for (int i = 0; i < 8; ++i) {
-            // Half of all are for one thing; it shares its owner with the request that ends
-            // targets.
+            // Half of the requests are for one content, which has the same owner as the request
+            // that crashes targets.
             const std::uint64_t thing = m_random() % 2 == 0 ? 4 : m_random() % popular_contents;
             m_world->submit_content(m_random() % nodes, static_cast<unsigned int>(thing),
                                     "thing " + std::to_string(thing));
@@ -115,7 +116,7 @@
 
     std::unique_ptr<world> m_world;
     std::mt19937_64 m_random;
-    std::vector<std::pair<instant, instant>> m_unstable; ///< in which no rule holds for time
+    std::vector<std::pair<instant, instant>> m_unstable; ///< in which no time bound applies
 };
 
 } // namespace
--- a/tests/coordination/crash_reporter_test.cpp
+++ b/tests/coordination/crash_reporter_test.cpp
@@ -20,7 +20,7 @@
     watch.note_unanswered(cause, incarnation, start);
     CHECK(watch.due(start + 10s).empty());
     watch.note_end("t", incarnation, start + 10s);
-    CHECK(watch.due(start + 10s).empty()); // others may break in this moment
+    CHECK(watch.due(start + 10s).empty()); // other connections may still break
     watch.note_unanswered(cause + 4, incarnation, start + 10s + 1ms);
     const auto due = watch.due(start + 11s);
     REQUIRE(due.size() == 1);
--- a/tests/coordination/crashing_request_test.cpp
+++ b/tests/coordination/crashing_request_test.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-/// Until then what is known of a request need not have reached every node.
+/// Time for a quarantine to reach every node.
 constexpr duration propagation_time = 3s;
-/// Further ends that may be caused by then.
+/// Further crashes permitted until then.
 constexpr std::ptrdiff_t max_late_crashes = 3;
 constexpr unsigned int keys = 30;
 
-/// PEPPERTACK_SEEDS asks for a longer run by hand.
+/// PEPPERTACK_SEEDS sets the number of seeds for longer manual runs.
 std::uint64_t seeds() {
     const char *asked = std::getenv("PEPPERTACK_SEEDS");
     return asked == nullptr ? 20 : std::strtoull(asked, nullptr, 10);
@@ -29,7 +29,7 @@
     }
 }
 
-/// Callers repeat the request that ends targets at any node, beside others; targets come back.
+/// Callers repeat the crashing request at any node, along with others; targets are restarted.
 void repeat_crashing(world &all, duration time, std::mt19937_64 &random) {
     constexpr std::size_t nodes = 5;
     const instant until = all.now() + time;
@@ -49,7 +49,7 @@
     restart_targets(all, nodes);
 }
 
-/// Crashes that the rule does not allow for: after what was learnt from the third was everywhere.
+/// Crashes that count against the bound: those after the news of the third had reached every node.
 std::ptrdiff_t crashes_after(const world &all, instant learnt) {
     return std::count_if(all.crashes().begin(), all.crashes().end(),
                          [&](instant at) { return at > learnt + propagation_time; });
@@ -72,7 +72,7 @@
 } // namespace
 
 TEST_CASE("a request that ends targets is kept from them, others are not") {
-    // Guards against a query of death, and against convicting what ran beside it.
+    // Guards against a query of death, and against quarantining requests that ran at the same time.
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
         CAPTURE(seed);
         const auto ready = ready_world({.seed = seed});
@@ -91,7 +91,7 @@
 }
 
 TEST_CASE("a quarantine outlives the leader that was told of the third end") {
-    // Guards against evidence that only one voter holds.
+    // Guards against crash records that only one voter holds.
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
         CAPTURE(seed);
         const auto ready = ready_world({.seed = seed});
@@ -105,7 +105,7 @@
         all.crash(*leader);
         all.run(1s);
         all.restart(*leader);
-        // Until a leader is back the core is not stable, and the rule does not hold.
+        // Without a leader the control layer is not stable and the bound does not apply.
         all.run(2s);
         const instant stable = all.now();
         repeat_crashing(all, 15s, random);
@@ -116,7 +116,7 @@
 }
 
 TEST_CASE("popular requests that run at targets which end at once are not quarantined") {
-    // Guards against taking a hot content for the cause of ends that have another.
+    // Guards against taking a popular content for the cause of crashes that have another cause.
     constexpr std::size_t nodes = 5;
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
         CAPTURE(seed);
@@ -125,7 +125,7 @@
         std::mt19937_64 random(seed);
         for (int round = 0; round < 60; ++round) {
             for (int i = 0; i < 20; ++i) {
-                // One content in three is the hot one, the others come now and then.
+                // A third of the requests are for the hot content; the others are infrequent.
                 const bool hot = random() % 3 == 0;
                 const std::uint64_t thing = hot ? 0 : 1 + random() % 20;
                 all.submit_content(random() % nodes, static_cast<unsigned int>(thing),
--- a/tests/coordination/held_lease.hpp
+++ b/tests/coordination/held_lease.hpp
@@ -8,8 +8,8 @@
 
 namespace peppertack::testing {
 
-/// The lease of a node whose target has number 7 and owns keys of service "s". The test plays the
-/// leader: it renews the lease and says which ranges there are.
+/// The lease of a node whose target has number 7 and owns keys of service "s". The test acts as the
+/// leader: it renews the lease and sets the ranges.
 class held_lease {
 public:
     static constexpr target_number own = 7;
@@ -17,11 +17,11 @@
 
     explicit held_lease(instant now) : client(options()) {
         client.announce({.name = "t", .service = "s"}, {now, 0});
-        renew(now); // the first answer registers, the second one carries the lease
+        renew(now); // the first answer registers the target, the second carries the lease
         renew(now + std::chrono::milliseconds(10));
     }
 
-    /// A renewal that is answered at once.
+    /// Sends a renewal and answers it at once.
     void renew(instant now) {
         std::vector<outgoing> sent;
         client.renew_at_next_tick();
@@ -39,7 +39,7 @@
                        {now, 0});
     }
 
-    /// All ranges of the service from now on.
+    /// Replaces all ranges of the service.
     void set_ranges(const std::vector<range_record> &ranges) {
         map_update update{.from = m_version, .to = m_version + 1, .as_of = m_version + 1};
         update.targets = {{.number = own, .name = "t", .service = "s"},
--- a/tests/coordination/hold_call_scheduler_test.cpp
+++ b/tests/coordination/hold_call_scheduler_test.cpp
@@ -19,7 +19,7 @@
 constexpr hold_call_end done{.result = hold_call_end::kind::done};
 constexpr hold_call_end lost{.result = hold_call_end::kind::lost};
 
-/// A node, long after its start, whose target has keys 0 to 99 under token 5 and the rest under 6.
+/// A node long after its start, whose target has keys 0 to 99 under token 5 and the rest under 6.
 struct scheduler_fixture {
     scheduler_fixture() : lease(start) { lease.set_ranges(ranges()); }
     static std::vector<range_record> ranges(target_number next = no_target) {
@@ -30,26 +30,26 @@
         lease.renew(now);
         return scheduler.due(lease.client, now, now);
     }
-    /// The only call that is due.
+    /// Returns the only call that is due.
     hold_call only_due(instant now) {
         const std::vector<hold_call> calls = due(now);
         REQUIRE(calls.size() == 1);
         return calls[0];
     }
-    /// Writes a call, which ends at `ended`.
+    /// Writes a call, whose result arrives at `ended`.
     void carry_out(const hold_call &call, instant written, const hold_call_end &how,
                    instant ended) {
         REQUIRE(scheduler.write(call.id, lease.client, written));
         scheduler.end(call.id, how, ended);
     }
-    /// Grants all that is due, each call answered at once.
+    /// Makes all calls that are due; each is answered at once.
     void grant_all(instant now) {
         for (std::vector<hold_call> calls = due(now); !calls.empty(); calls = due(now)) {
             REQUIRE(calls.size() == 1);
             carry_out(calls[0], now, done, now);
         }
     }
-    /// Grants all, then lets the first range move.
+    /// Grants everything, then starts a move of the first range.
     void grant_and_move(instant granted) {
         grant_all(granted);
         lease.set_ranges(ranges(other));
@@ -58,7 +58,7 @@
     held_lease lease;
     hold_manager manager{{}};
     hold_call_scheduler scheduler{{.previous_process_hold = 0ms},
-                                  manager}; // what ran before is long over
+                                  manager}; // no grants of an earlier process
 };
 
 } // namespace
@@ -69,25 +69,24 @@
     REQUIRE(first.size() == 1);
     CHECK(first[0].what == hold_call::kind::grant);
     CHECK(first[0].span == held_span{0, 99, 5, ""});
-    CHECK(node.due(start + 1ms).empty()); // the next one waits for the answer
+    CHECK(node.due(start + 1ms).empty()); // the next call waits for the answer
     const auto length = node.scheduler.write(first[0].id, node.lease.client, start + 1ms);
     REQUIRE(length);
-    CHECK_FALSE(node.scheduler.holds(50, start + 2ms)); // not before the target says so
+    CHECK_FALSE(node.scheduler.holds(50, start + 2ms)); // not before the target has answered
     node.scheduler.end(first[0].id, done, start + 2ms);
     CHECK(node.scheduler.holds(50, start + 2ms));
     CHECK_FALSE(node.scheduler.holds(50, start + 1ms + *length));
     node.grant_all(start + 3ms);
     CHECK(node.scheduler.holds(500, start + 3ms));
     CHECK(node.due(start + 100ms).empty());
-    // Two renewals may be lost: the third comes while the hold still runs.
+    // Two renewals may be lost: the third arrives while the hold still runs.
     CHECK(*length > 3 * hold_call_scheduler::options{}.renew_after);
     CHECK(node.due(start + 450ms).size() == 1);
 }
 
 TEST_CASE("a hold is as long as the lease allows when it is written, not when it is decided") {
-    // Symptom: two owners. Sequence: a grant was decided on, the process was paused, and went on
-    // to write the length that had been right before the pause. Cause: the length was worked out
-    // with the decision.
+    // Guards against two owners: the process was paused between deciding on a grant and writing it,
+    // and then wrote the length computed before the pause.
     scheduler_fixture node;
     const auto calls = node.due(start);
     REQUIRE(calls.size() == 1);
@@ -120,7 +119,7 @@
     CHECK(calls[0].what == hold_call::kind::release);
     CHECK(calls[0].span == held_span{0, 99, 5, ""});
     REQUIRE(node.scheduler.write(calls[0].id, node.lease.client, start + 10ms));
-    // Its requests go on running; the call stays open for as long as they take.
+    // Requests in progress continue; the call stays open until they are done.
     (void)node.due(start + 300ms);
     CHECK(node.lease.released(node.manager).empty());
     node.scheduler.end(calls[0].id, {.result = hold_call_end::kind::done, .handover = "h"},
@@ -135,9 +134,9 @@
 }
 
 TEST_CASE("keys of a grant without an answer are not given on before its time has run out") {
-    // Symptom: two owners. Sequence: a renewal got no answer; the range was to move, its release
-    // was answered, and it went to another target; then the first one carried the renewal out.
-    // Cause: the answer to the release was taken for the end of all grants.
+    // Guards against two owners: a renewal got no answer, the range's release was answered and the
+    // range moved to another target, and then the first target executed the delayed renewal. The
+    // answer to the release had been taken for the end of all grants.
     scheduler_fixture node;
     node.grant_all(start);
     const auto renewal = node.due(start + 450ms);
@@ -173,8 +172,8 @@
 }
 
 TEST_CASE("a token that the target refuses is not sent again") {
-    // The target has seen a higher one, so what is believed here is old. Sent again it would be
-    // refused for ever.
+    // The target has seen a higher token, so the node's map is outdated. Sent again, the token
+    // would always be refused.
     scheduler_fixture node;
     const auto calls = node.due(start);
     node.carry_out(calls.at(0), start, {.result = hold_call_end::kind::token_refused}, start + 1ms);
@@ -186,12 +185,12 @@
         }
     }
     CHECK_FALSE(node.scheduler.token_rejected(start + 1s));
-    // A new map with a higher token helps.
+    // A new map with a higher token ends the refusals.
     node.lease.set_ranges({{.first = 0, .owner = own, .token = 9}});
     const auto higher = node.due(start + 1100ms);
     REQUIRE(higher.size() == 1);
     node.scheduler.end(higher[0].id, done, start + 1101ms);
-    // Where none comes the registration has to end.
+    // Without a new map the registration has to end.
     node.lease.set_ranges(scheduler_fixture::ranges());
     const auto refused = node.due(start + 1200ms);
     REQUIRE(refused.size() == 1);
@@ -220,7 +219,7 @@
 }
 
 TEST_CASE("a target that is silent and answers no grant is granted nothing more") {
-    // Each further grant would keep its keys from others for its whole length.
+    // Each further grant would keep its keys unavailable for the length of the hold.
     scheduler_fixture node;
     node.grant_all(start);
     node.lease.renew(start + 450ms);
@@ -245,8 +244,9 @@
 }
 
 TEST_CASE("a move that was called off leaves no release behind") {
-    // Symptom: two owners. Sequence: a range was released, its move called off, the range granted
-    // again, and moved once more; the report of the first release was sent for the second move.
+    // Guards against two owners: a range was released, its move was cancelled, and the range was
+    // granted again and moved once more. The report of the first release was then sent for the
+    // second move.
     scheduler_fixture node;
     node.grant_and_move(start);
     const auto calls = node.due(start + 10ms);
@@ -261,7 +261,7 @@
 }
 
 TEST_CASE("keys have one holder however calls are lost, late and paused") {
-    const char *wanted = std::getenv("HOLD_SEQUENCES"); // by hand: more
+    const char *wanted = std::getenv("HOLD_SEQUENCES"); // for longer manual runs
     const std::uint64_t sequences = wanted == nullptr ? 2000 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= sequences; ++seed) {
         const std::string found = run_hold_sequence(seed);
--- a/tests/coordination/hold_fuzz.cpp
+++ b/tests/coordination/hold_fuzz.cpp
@@ -16,12 +16,12 @@
 
 constexpr std::size_t range_count = 4;
 constexpr std::uint32_t range_keys = 65536 / range_count;
-constexpr double slowest_clock = 1.02; ///< a target's clock, by what is promised
+constexpr double slowest_clock = 1.02; ///< slowest permitted rate of a target's clock
 constexpr int steps = 400;
 constexpr duration rounding = 1ms;
 
-/// The target's side: it counts a grant from its arrival and promises nothing else, in particular
-/// not that it compares tokens when it carries out a grant late.
+/// A simulated target that counts a grant from its arrival and guarantees nothing else; in
+/// particular, it does not compare tokens when it executes a grant late.
 class delayed_target {
 public:
     struct hold {
@@ -39,7 +39,7 @@
             static_cast<duration::rep>(static_cast<double>(length.count()) * slowest_clock));
         m_delayed.push_back({carried_out, {span.from, span.to, arrived + max_real_length}});
     }
-    /// New work stops; what runs ends at `work_until`.
+    /// Accepts no new requests; running ones end at `work_until`.
     void release(const held_span &span, instant work_until) {
         std::vector<hold> left;
         for (const hold &old : m_holds) {
@@ -67,7 +67,7 @@
         std::erase_if(m_delayed, [now](const delayed_grant &item) { return item.at <= now; });
         std::erase_if(m_holds, [now](const hold &item) { return item.until <= now; });
     }
-    /// Whether any key from `from` to `to` is held or worked on.
+    /// Whether any key from `from` to `to` is held or has a running request.
     bool holds(std::uint32_t from, std::uint32_t to) const {
         return std::any_of(m_holds.begin(), m_holds.end(),
                            [&](const hold &item) { return item.from <= to && from <= item.to; });
@@ -101,7 +101,7 @@
         hold_call call;
         instant write_at{};
         bool written = false;
-        instant answer_at{}; ///< by the target, if it answers
+        instant answer_at{}; ///< when the target answers, if it does
         bool answers = false;
     };
 
@@ -116,7 +116,7 @@
 
     void step() {
         advance(chance(2) ? random_up_to(4s)
-                          : random_up_to(60ms)); // now and then the node is paused
+                          : random_up_to(60ms)); // the node is paused occasionally
         if (chance(3)) {
             m_disconnected_until = m_now + random_up_to(4s);
         }
@@ -142,7 +142,7 @@
         take_releases();
     }
 
-    /// Time passes in small parts, in which the target acts and the oracle looks.
+    /// Advances the time in small steps; the target acts and the invariants are checked in each.
     void advance(duration time) {
         const instant end = m_now + time;
         while (m_now < end && m_violation.empty()) {
@@ -158,7 +158,7 @@
             if (held && m_ranges[i].owner == held_lease::other) {
                 m_violation = "keys of range " + std::to_string(i) + " are held after they went on";
             }
-            // From then on the leader may give them to others without asking.
+            // After the lease has ended the leader may reassign the keys without a release.
             if (held && m_now > m_lease.client.lease_until() + rounding) {
                 m_violation =
                     "keys of range " + std::to_string(i) + " are held after the lease ended";
@@ -224,7 +224,7 @@
         }
     }
 
-    /// The leader plans a move, calls one off, or gives a range back.
+    /// The leader plans a move, cancels one, or returns a range.
     void change_range(std::size_t index) {
         range_record &range = m_ranges[index];
         if (range.owner == held_lease::other) {
--- a/tests/coordination/hold_manager_test.cpp
+++ b/tests/coordination/hold_manager_test.cpp
@@ -13,8 +13,8 @@
 
 constexpr instant start(1000s);
 
-/// A node's lease with keys 0 to 99 under token 5 and 100 to the last under token 6, of which the
-/// second may be on its way to another target.
+/// A node's lease with keys 0 to 99 under token 5 and the others under token 6. The second range
+/// may be moving to another target.
 struct lease_fixture : held_lease {
     explicit lease_fixture(target_number next = no_target) : held_lease(start) {
         set_ranges({{.first = 0, .owner = own, .token = 5, .handover = "from-before"},
@@ -36,7 +36,7 @@
     const hold_grant grant = holds.grant(node.lease, start + 20ms, start + 20ms);
     REQUIRE(grant.renews);
     CHECK(grant.holds == std::vector<held_span>{{0, 99, 5, "from-before"}, {100, 65535, 6, ""}});
-    // A clock that runs two parts in a hundred slow holds on longer.
+    // A clock that is 2 % slow prolongs the hold.
     const auto max_real_length =
         duration(static_cast<duration::rep>(static_cast<double>(grant.length.count()) * 1.02));
     CHECK(start + 20ms + max_real_length <= node.lease.lease_until());
@@ -66,7 +66,7 @@
     holds.fill_report(request, node.lease);
     REQUIRE(request.released.size() == 1);
     CHECK(request.released[0] == range_report{"s", ordered_key_hash(100), 6, 9, "what-it-knew"});
-    // The list of what it freed is not sent again once it was acknowledged.
+    // The target does not repeat its released spans once they were acknowledged.
     holds.note({.holds = {{0, 99, 5, ""}}}, node.lease);
     request.released.clear();
     holds.fill_report(request, node.lease);
@@ -94,10 +94,9 @@
 }
 
 TEST_CASE("a target without keys expects those that have no owner") {
-    // Symptom: after a loss of power keys were unserved for one heartbeat interval more than it
-    // took to grant them. Sequence: a target's first heartbeat was answered while its service's
-    // keys had no owner yet; they were granted a moment later. Cause: nothing said that any were to
-    // come.
+    // After a power loss, keys stayed unserved for one heartbeat interval longer than it took to
+    // grant them: a target's first heartbeat was answered while its service's keys were still
+    // unowned, and nothing showed that some were about to be assigned.
     held_lease node(start);
     const hold_manager holds({});
     const auto with_owner = [&](target_number first, target_number second) {
@@ -107,5 +106,5 @@
     };
     CHECK(with_owner(no_target, 8));
     CHECK_FALSE(with_owner(8, 8));
-    CHECK_FALSE(with_owner(no_target, held_lease::own)); // it has some
+    CHECK_FALSE(with_owner(no_target, held_lease::own)); // it already has some
 }
--- a/tests/coordination/lease_client_test.cpp
+++ b/tests/coordination/lease_client_test.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// A node and what it has sent.
+/// A node and its sent messages.
 class renewing_node {
 public:
     explicit renewing_node(node_options settings) : m_options(std::move(settings)) {}
 
-    /// Number of the last renewal once that time has come.
+    /// Ticks the client and returns the sequence number of its last renewal.
     std::uint64_t renew(instant now) {
         lease.tick(
             {now, 0}, [](renew_request &, instant) {}, sent);
@@ -32,10 +32,9 @@
 } // namespace
 
 TEST_CASE("a node that found the leader by its address follows the list of voters") {
-    // Symptom: nodes went on asking seeds that they were cut from, while a leader they could reach
-    // was at work. Sequence: a node asked a seed by its bare address; the answer listed all voters
-    // by their identities. Cause: the seed's address is not found in that list, so the list is
-    // passed over.
+    // Guards against nodes that keep asking unreachable seeds while a reachable leader exists. A
+    // node contacted a seed by its bare address and the answer listed all voters by their
+    // identities; the seed's address was not found in that list, so the list was ignored.
     node_options options;
     options.self = "n:1";
     options.voters = {"a:1"};
@@ -51,9 +50,9 @@
     CHECK(lease.voters().size() == 3);
 }
 
-// A node that can't reach a leader denied requests by the table it had, for as long as it lived.
-// What it may say for good is bounded by the last time a leader confirmed the table, counted from
-// when the node asked: the answer may have been long on its way.
+// A node without contact to a leader rejected requests by its old table indefinitely. The table may
+// be used for final rejections only for a bounded time after a leader last confirmed it, counted
+// from when the node sent the renewal, since the answer may be delayed.
 TEST_CASE("a table is trusted for a bounded time after a leader confirmed it") {
     node_options options;
     options.self = "n:1";
@@ -71,13 +70,13 @@
     CHECK(lease.routes_trusted(start + 999ms));
     CHECK(!lease.routes_trusted(start + 1s));
 
-    // An answer that names a newer version and does not bring it confirms nothing.
+    // An answer with a newer version number but without its table confirms nothing.
     renew_reply newer{
         .sequence = node.renew(start + 600ms), .is_leader = true, .routes_version = 63};
     lease.receive("a:1", newer, {start + 601ms, 0});
     CHECK(!lease.routes_trusted(start + 1s));
 
-    // Nor does one of a voter that does not lead.
+    // Nor does the answer of a voter that is not the leader.
     renew_reply other{.sequence = node.renew(start + 1200ms), .routes_version = 4};
     lease.receive("a:1", other, {start + 1201ms, 0});
     CHECK(!lease.routes_trusted(start + 1201ms));
@@ -88,9 +87,9 @@
     CHECK(lease.routes_trusted(start + 1501ms));
 }
 
-// A clock that counts from the start of the instance reads less than a second in a process that is
-// started with it. "Never confirmed" was kept as zero, so the limits and the table of a node that
-// had heard from no voter passed for confirmed in that first second.
+// A clock that counts from the start of the instance reads less than a second in a process started
+// with it. "Never confirmed" was stored as zero, so a node that had reached no voter treated its
+// limits and its table as confirmed during that first second.
 TEST_CASE("no table is trusted before a leader has confirmed one") {
     node_options options;
     options.self = "n:1";
@@ -100,11 +99,11 @@
     CHECK(!lease.table_trusted(instant(500ms)));
 }
 
-// A leader answers a renewal only once a quorum has confirmed it, and an answer waits for a
-// connection to the node's address. A node that was started again meanwhile is given the answer to
-// its earlier life, and counts its renewals from 1 like that life did: the answer passed for one to
-// the renewal of the same number. It showed a leadership of five seconds ago as one of now, and
-// brought a lease that runs on here for five seconds longer than at the leader.
+// A leader answers a renewal only after a quorum has confirmed it, and the answer may wait for a
+// connection. A node restarted meanwhile received the answer to its earlier incarnation's renewal
+// and, since both numbered their renewals from 1, took it for its own. It took a leadership
+// confirmed five seconds ago as current and got a lease that outlasted the leader's by five
+// seconds.
 TEST_CASE("an answer to an earlier life of the process confirms nothing and brings no lease") {
     node_options options;
     options.self = "n:1";
@@ -141,8 +140,9 @@
 }
 
 TEST_CASE("a node renews more often until its target has a number") {
-    // The first answer to an announcement can't have one; at the usual pace, 200 targets that came
-    // back together from a loss of power were without a lease for a renewal interval longer.
+    // The first answer to an announcement carries no number. At the usual interval, 200 targets
+    // that returned together after a power loss stayed without a lease for one renewal interval
+    // longer.
     node_options options;
     options.self = "n:1";
     options.voters = {"v:1"};
