--- a/tests/coordination/crash_fuzz.cpp
+++ b/tests/coordination/crash_fuzz.cpp
@@ -98,7 +98,7 @@
             const auto late =
                 std::count_if(ends.begin(), ends.end(), [&](instant end) { return counts(end); });
             if (late > max_late_crashes) {
-                return std::to_string(late) + " ends too many";
+                return std::to_string(late) + " crashes more than permitted";
             }
         }
         if (!m_world->violations().empty()) {
@@ -145,7 +145,7 @@
     all->run(4s);
     const auto last = all->leader();
     const bool recorded = last && !all->control(*last).state().crashes().known_lives().empty();
-    return all->crashes().empty() || recorded ? "" : "the end of a target was never recorded";
+    return all->crashes().empty() || recorded ? "" : "the crash of a target was never recorded";
 }
 
 } // namespace peppertack::testing
--- a/tests/coordination/crash_reporter_test.cpp
+++ b/tests/coordination/crash_reporter_test.cpp
@@ -29,7 +29,7 @@
     CHECK(watch.due(start + 12s).empty());
 }
 
-TEST_CASE("runs that broke off before the target answered others are not reported with its end") {
+TEST_CASE("requests that broke off before the target answered others are not reported") {
     crash_reporter watch;
     watch.note_unanswered(popular, incarnation, start);
     watch.note_answered(popular + 1, incarnation, {}, start + 1s);
@@ -40,14 +40,14 @@
     CHECK(due[0].running == std::vector<std::uint64_t>{cause});
 }
 
-TEST_CASE("runs of another life of the target are not reported with this one") {
+TEST_CASE("requests of another incarnation of the target are not reported with this one") {
     crash_reporter watch;
     watch.note_unanswered(cause, incarnation + 1, start);
     watch.note_end("t", incarnation, start);
     CHECK(watch.due(start + 1s).empty());
 }
 
-TEST_CASE("a request that the target has just answered did not end it") {
+TEST_CASE("a request that the target answered recently is not reported") {
     crash_reporter watch;
     watch.note_answered(popular, incarnation, {}, start);
     watch.note_unanswered(popular, incarnation, start + 1s);
@@ -58,14 +58,14 @@
     CHECK(due[0].running == std::vector<std::uint64_t>{cause});
 }
 
-TEST_CASE("a request without a fingerprint is never under suspicion") {
+TEST_CASE("a request without a fingerprint is never reported") {
     crash_reporter watch;
     watch.note_unanswered(0, incarnation, start);
     watch.note_end("t", incarnation, start);
     CHECK(watch.due(start + 1s).empty());
 }
 
-TEST_CASE("a report that no leader takes is given up in the end") {
+TEST_CASE("a report that no leader accepts is discarded after its lifetime") {
     crash_reporter watch;
     watch.note_unanswered(cause, incarnation, start);
     watch.note_end("t", incarnation, start);
--- a/tests/coordination/crashing_request_test.cpp
+++ b/tests/coordination/crashing_request_test.cpp
@@ -71,7 +71,7 @@
 
 } // namespace
 
-TEST_CASE("a request that ends targets is kept from them, others are not") {
+TEST_CASE("a request that crashes targets is quarantined, others are not") {
     // Guards against a query of death, and against quarantining requests that ran at the same time.
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
         CAPTURE(seed);
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_CASE("a quarantine outlives the leader that was told of the third end") {
+TEST_CASE("a quarantine outlives the leader that recorded the third crash") {
     // Guards against crash records that only one voter holds.
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
         CAPTURE(seed);
@@ -115,7 +115,7 @@
     }
 }
 
-TEST_CASE("popular requests that run at targets which end at once are not quarantined") {
+TEST_CASE("popular requests running at targets that crash together are not quarantined") {
     // Guards against taking a popular content for the cause of crashes that have another cause.
     constexpr std::size_t nodes = 5;
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
@@ -152,7 +152,7 @@
     }
 }
 
-TEST_CASE("the end of a target is recorded though its leader is cut off meanwhile") {
+TEST_CASE("a target's crash is recorded although the leader is partitioned meanwhile") {
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
         CAPTURE(seed);
         CHECK(run_cut_off_leader_sequence(seed) == "");
--- a/tests/coordination/hold_call_scheduler_test.cpp
+++ b/tests/coordination/hold_call_scheduler_test.cpp
@@ -63,7 +63,7 @@
 
 } // namespace
 
-TEST_CASE("a target is granted its keys by calls, one at a time, and again before they end") {
+TEST_CASE("grants are made one at a time and renewed before they end") {
     scheduler_fixture node;
     const auto first = node.due(start);
     REQUIRE(first.size() == 1);
@@ -84,7 +84,7 @@
     CHECK(node.due(start + 450ms).size() == 1);
 }
 
-TEST_CASE("a hold is as long as the lease allows when it is written, not when it is decided") {
+TEST_CASE("the length of a hold is computed when the grant is written") {
     // Guards against two owners: the process was paused between deciding on a grant and writing it,
     // and then wrote the length computed before the pause.
     scheduler_fixture node;
@@ -111,7 +111,7 @@
     CHECK(calls[0].span == held_span{0, 199, 5, ""});
 }
 
-TEST_CASE("a range that moves is released by a call, and its handover goes on") {
+TEST_CASE("a moving range is released by a call and its handover is passed on") {
     scheduler_fixture node;
     node.grant_and_move(start);
     const auto calls = node.due(start + 10ms);
@@ -133,7 +133,7 @@
     CHECK(node.scheduler.holds(500, start + 311ms));
 }
 
-TEST_CASE("keys of a grant without an answer are not given on before its time has run out") {
+TEST_CASE("keys of an unanswered grant are not released before its latest end") {
     // Guards against two owners: a renewal got no answer, the range's release was answered and the
     // range moved to another target, and then the first target executed the delayed renewal. The
     // answer to the release had been taken for the end of all grants.
@@ -158,7 +158,7 @@
     CHECK(node.lease.released(node.manager).size() == 1);
 }
 
-TEST_CASE("a release without an answer is made again and proves nothing") {
+TEST_CASE("an unanswered release is retried and does not count") {
     scheduler_fixture node;
     node.grant_and_move(start);
     const auto first = node.due(start + 10ms);
@@ -200,7 +200,7 @@
                                         hold_call_scheduler::options{}.refusal_timeout));
 }
 
-TEST_CASE("a node that was started again waits out what its earlier life may have granted") {
+TEST_CASE("a restarted node waits for the end of grants of its earlier process") {
     held_lease lease(start);
     lease.set_ranges(scheduler_fixture::ranges(other));
     hold_manager manager({});
@@ -218,7 +218,7 @@
     CHECK(lease.released(manager).size() == 1);
 }
 
-TEST_CASE("a target that is silent and answers no grant is granted nothing more") {
+TEST_CASE("a target without heartbeats and answers receives no further grants") {
     // Each further grant would keep its keys unavailable for the length of the hold.
     scheduler_fixture node;
     node.grant_all(start);
@@ -230,7 +230,7 @@
     CHECK_FALSE(node.scheduler.due(node.lease.client, start + 1100ms, start + 1100ms).empty());
 }
 
-TEST_CASE("keys that the target refuses are granted again at once") {
+TEST_CASE("keys that the target refuses are granted again after the retry delay") {
     scheduler_fixture node;
     node.grant_all(start);
     REQUIRE(node.due(start + 100ms).empty());
@@ -243,7 +243,7 @@
     CHECK(node.scheduler.holds(50, start + 161ms));
 }
 
-TEST_CASE("a move that was called off leaves no release behind") {
+TEST_CASE("a cancelled move leaves no release behind") {
     // Guards against two owners: a range was released, its move was cancelled, and the range was
     // granted again and moved once more. The report of the first release was then sent for the
     // second move.
@@ -260,7 +260,7 @@
     CHECK(node.lease.released(node.manager).empty());
 }
 
-TEST_CASE("keys have one holder however calls are lost, late and paused") {
+TEST_CASE("keys have one holder with lost and delayed calls and pauses") {
     const char *wanted = std::getenv("HOLD_SEQUENCES"); // for longer manual runs
     const std::uint64_t sequences = wanted == nullptr ? 2000 : std::strtoull(wanted, nullptr, 10);
     for (std::uint64_t seed = 1; seed <= sequences; ++seed) {
--- a/tests/coordination/hold_fuzz.cpp
+++ b/tests/coordination/hold_fuzz.cpp
@@ -156,7 +156,8 @@
         for (std::size_t i = 0; i < range_count; ++i) {
             const bool held = m_target.holds(first_key(i), first_key(i) + range_keys - 1);
             if (held && m_ranges[i].owner == held_lease::other) {
-                m_violation = "keys of range " + std::to_string(i) + " are held after they went on";
+                m_violation = "keys of range " + std::to_string(i) +
+                              " are held after they moved to another target";
             }
             // After the lease has ended the leader may reassign the keys without a release.
             if (held && m_now > m_lease.client.lease_until() + rounding) {
--- a/tests/coordination/hold_manager_test.cpp
+++ b/tests/coordination/hold_manager_test.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("what a target holds ends before the node's lease does") {
+TEST_CASE("a hold ends before the node's lease does") {
     lease_fixture node;
     REQUIRE(node.lease.lease_valid(start + 20ms));
     hold_manager holds({});
@@ -45,7 +45,7 @@
     CHECK_FALSE(holds.grant(node.lease, start + 3s, start + 3s).renews);
 }
 
-TEST_CASE("a range that moves is left out, and reported once the target has let go of it") {
+TEST_CASE("a moving range is left out of the grant and reported once it is released") {
     lease_fixture node(9);
     hold_manager holds({});
     const hold_grant grant = holds.grant(node.lease, start + 20ms, start + 20ms);
@@ -74,7 +74,7 @@
     CHECK(request.released[0].handover == "what-it-knew");
 }
 
-TEST_CASE("nothing is held under a lease that has ended, or by another target") {
+TEST_CASE("no key is held after the lease has ended or the target has changed") {
     lease_fixture node;
     hold_manager holds({});
     holds.grant(node.lease, start + 20ms, start + 20ms);
@@ -84,7 +84,7 @@
     CHECK(holds.state_of(key_50, node.lease, start + 40ms) != hold_manager::key_state::held);
 }
 
-TEST_CASE("an answer that waits does not shorten or lengthen what it grants") {
+TEST_CASE("a delayed answer grants a hold of the same length") {
     lease_fixture node;
     hold_manager holds({});
     const hold_grant at_once = holds.grant(node.lease, start + 20ms, start + 20ms);
@@ -93,7 +93,7 @@
     CHECK_FALSE(holds.grant(node.lease, start - 9s, start + 3s).renews);
 }
 
-TEST_CASE("a target without keys expects those that have no owner") {
+TEST_CASE("a target without keys expects unowned keys") {
     // After a power loss, keys stayed unserved for one heartbeat interval longer than it took to
     // grant them: a target's first heartbeat was answered while its service's keys were still
     // unowned, and nothing showed that some were about to be assigned.
--- a/tests/coordination/lease_client_test.cpp
+++ b/tests/coordination/lease_client_test.cpp
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("a node that found the leader by its address follows the list of voters") {
+TEST_CASE("a node that contacted the leader by its bare address adopts the list of voters") {
     // Guards against nodes that keep asking unreachable seeds while a reachable leader exists. A
     // node contacted a seed by its bare address and the answer listed all voters by their
     // identities; the seed's address was not found in that list, so the list was ignored.
@@ -104,7 +104,8 @@
 // and, since both numbered their renewals from 1, took it for its own. It took a leadership
 // confirmed five seconds ago as current and got a lease that outlasted the leader's by five
 // seconds.
-TEST_CASE("an answer to an earlier life of the process confirms nothing and brings no lease") {
+TEST_CASE(
+    "an answer to an earlier incarnation of the process confirms nothing and brings no lease") {
     node_options options;
     options.self = "n:1";
     options.voters = {"a:1"};
