--- a/src/coordination/crash_reporter.cpp
+++ b/src/coordination/crash_reporter.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t max_ended_processes = 16;
 /// Power of two; ten times the answers of 5 s at 60 requests per second.
 constexpr std::size_t answered_slots = 4096;
-/// A request that the local target answered this recently is not taken for the cause of its end.
+/// A request that the local target answered this recently is not considered the cause of its end.
 constexpr duration acquittal_window = std::chrono::seconds(5);
 /// The answer of a process that has just ended may be read this long after its other connections
 /// broke.
--- a/src/coordination/hold_call_scheduler.cpp
+++ b/src/coordination/hold_call_scheduler.cpp
@@ -138,7 +138,8 @@
         return std::nullopt;
     }
     const instant from = g_defects.hold_from_decision ? item.begun : now;
-    // The target may read an unanswered grant as late as the answer timeout.
+    // Without an answer, the target may read the grant as late as the answer timeout, so the length
+    // is counted from there.
     const duration length = std::min(m_manager.length(lease, from + m_options.answer_timeout, from),
                                      m_options.max_hold);
     if (length < m_options.min_hold) {
--- a/src/coordination/lease_client.cpp
+++ b/src/coordination/lease_client.cpp
@@ -255,9 +255,8 @@
 /// Adopts the current voters, which differ from the configured ones once one was replaced.
 void lease_client::update_voters(const node_address &leader,
                                  const std::vector<node_address> &voters) {
-    // Compares addresses, since a node initially knows voters by these alone. Whoever is at a
-    // voter's address answers for it, even if it has returned without its disk and under another
-    // identity.
+    // Compares addresses, since a node initially knows voters by these alone. The voter at an
+    // address answers for it, even if it has returned without its disk and under another identity.
     std::vector<node_address> addresses;
     for (const node_address &voter : voters) {
         const node_address address = address_of(voter);
--- a/src/coordination/range_owner.cpp
+++ b/src/coordination/range_owner.cpp
@@ -163,7 +163,7 @@
 }
 
 /// Records the key of a request that may run only once, here and with the standby, before the
-/// target receives it. The range's next owner can then tell a resend from a first attempt.
+/// target receives it. The range's next owner can then distinguish a resend from a first attempt.
 void range_owner::record_key(std::uint64_t serial, moment at) {
     served_request &served = m_served.at(serial);
     if (check_memory(serial, at)) {
--- a/tests/coordination/crash_fuzz.cpp
+++ b/tests/coordination/crash_fuzz.cpp
@@ -59,9 +59,9 @@
         for (int i = 0; i < 8; ++i) {
             // Half of the requests are for one content, which has the same owner as the request
             // that crashes targets.
-            const std::uint64_t thing = m_random() % 2 == 0 ? 4 : m_random() % popular_contents;
-            m_world->submit_content(m_random() % nodes, static_cast<unsigned int>(thing),
-                                    "thing " + std::to_string(thing));
+            const std::uint64_t content = m_random() % 2 == 0 ? 4 : m_random() % popular_contents;
+            m_world->submit_content(m_random() % nodes, static_cast<unsigned int>(content),
+                                    "thing " + std::to_string(content));
         }
     }
 
--- a/tests/coordination/crashing_request_test.cpp
+++ b/tests/coordination/crashing_request_test.cpp
@@ -49,7 +49,8 @@
     restart_targets(all, nodes);
 }
 
-/// Crashes that count against the bound: those after the news of the third had reached every node.
+/// Counts crashes beyond the bound: those after what was learnt from the third had reached every
+/// node.
 std::ptrdiff_t crashes_after(const world &all, instant learnt) {
     return std::count_if(all.crashes().begin(), all.crashes().end(),
                          [&](instant at) { return at > learnt + propagation_time; });
@@ -127,9 +128,9 @@
             for (int i = 0; i < 20; ++i) {
                 // A third of the requests are for the hot content; the others are infrequent.
                 const bool hot = random() % 3 == 0;
-                const std::uint64_t thing = hot ? 0 : 1 + random() % 20;
-                all.submit_content(random() % nodes, static_cast<unsigned int>(thing),
-                                   "thing " + std::to_string(thing));
+                const std::uint64_t content = hot ? 0 : 1 + random() % 20;
+                all.submit_content(random() % nodes, static_cast<unsigned int>(content),
+                                   "thing " + std::to_string(content));
                 all.run(duration(random() % 10'000));
             }
             if (round % 5 == 4) {
--- a/tests/coordination/hold_call_scheduler_test.cpp
+++ b/tests/coordination/hold_call_scheduler_test.cpp
@@ -136,7 +136,7 @@
 TEST_CASE("keys of an unanswered grant are not released before its latest end") {
     // Guards against two owners: a renewal got no answer, the range's release was answered and the
     // range moved to another target, and then the first target executed the delayed renewal. The
-    // answer to the release had been taken for the end of all grants.
+    // answer to the release had been treated as the end of all grants.
     scheduler_fixture node;
     node.grant_all(start);
     const auto renewal = node.due(start + 450ms);
