--- a/tests/coordination/crash_fuzz.cpp
+++ b/tests/coordination/crash_fuzz.cpp
@@ -1,6 +1,6 @@
 #include "crash_fuzz.hpp"
 
-#include "ready_world.hpp"
+#include "ready_cluster.hpp"
 
 #include <algorithm>
 
@@ -19,7 +19,7 @@
 class crash_sequence {
 public:
     explicit crash_sequence(std::uint64_t seed)
-        : m_world(ready_world({.seed = seed})), m_random(seed) {}
+        : m_world(make_ready_cluster({.seed = seed})), m_random(seed) {}
 
     std::string run() {
         const instant until = m_world->now() + 25s;
@@ -53,7 +53,7 @@
 
     void ask() {
         if (m_random() % 2 == 0) {
-            m_world->submit_content(m_random() % nodes, 4, world::crashing_content);
+            m_world->submit_content(m_random() % nodes, 4, simulated_cluster::crashing_content);
         }
         for (int i = 0; i < 8; ++i) {
             // Half of all are for one thing; it shares its owner with the request that ends
@@ -112,7 +112,7 @@
         return count > 1 ? "a popular request is quarantined" : "";
     }
 
-    std::unique_ptr<world> m_world;
+    std::unique_ptr<simulated_cluster> m_world;
     std::mt19937_64 m_random;
     std::vector<std::pair<instant, instant>> m_unstable; ///< in which no rule holds for time
 };
@@ -124,10 +124,10 @@
 }
 
 std::string run_cut_off_leader_sequence(std::uint64_t seed) {
-    const auto all = ready_world({.seed = seed});
+    const auto all = make_ready_cluster({.seed = seed});
     std::mt19937_64 random(seed);
     const auto leader = all->leader();
-    all->submit_content(random() % nodes, 4, world::crashing_content);
+    all->submit_content(random() % nodes, 4, simulated_cluster::crashing_content);
     for (int i = 0; i < 100 && all->crashes().empty(); ++i) {
         all->run(20ms);
     }
--- a/tests/coordination/crashing_request_test.cpp
+++ b/tests/coordination/crashing_request_test.cpp
@@ -1,5 +1,5 @@
 #include "crash_fuzz.hpp"
-#include "ready_world.hpp"
+#include "ready_cluster.hpp"
 
 #include <algorithm>
 #include <cstdlib>
@@ -23,21 +23,21 @@
     return asked == nullptr ? 20 : std::strtoull(asked, nullptr, 10);
 }
 
-void restart_targets(world &all, std::size_t nodes) {
+void restart_targets(simulated_cluster &all, std::size_t nodes) {
     for (std::size_t node = 0; node < nodes; ++node) {
         all.start_target(node);
     }
 }
 
 /// Callers repeat the request that ends targets at any node, beside others; targets come back.
-void repeat_crashing(world &all, duration time, std::mt19937_64 &random) {
+void repeat_crashing(simulated_cluster &all, duration time, std::mt19937_64 &random) {
     constexpr std::size_t nodes = 5;
     const instant until = all.now() + time;
     while (all.now() < until) {
-        all.submit_content(random() % nodes, 4, world::crashing_content);
+        all.submit_content(random() % nodes, 4, simulated_cluster::crashing_content);
         for (int i = 0; i < 4; ++i) {
             all.submit(random() % nodes, static_cast<unsigned int>(random() % keys),
-                       world::request_kind::read);
+                       simulated_cluster::request_kind::read);
         }
         all.run(duration(50'000 + random() % 200'000));
         // A process takes longer to start than its end takes to be noticed.
@@ -50,18 +50,18 @@
 }
 
 /// Crashes that the rule does not allow for: after what was learnt from the third was everywhere.
-std::ptrdiff_t crashes_after(const world &all, instant learnt) {
+std::ptrdiff_t crashes_after(const simulated_cluster &all, instant learnt) {
     return std::count_if(all.crashes().begin(), all.crashes().end(),
                          [&](instant at) { return at > learnt + contact_window; });
 }
 
-void check_contained(world &all) {
+void check_contained(simulated_cluster &all) {
     REQUIRE(all.crashes().size() >= 3);
     CHECK(crashes_after(all, all.crashes()[2]) <= late_crashes);
     CHECK(all.violations() == std::vector<std::string>{});
 }
 
-std::size_t quarantined(world &all) {
+std::size_t quarantined(simulated_cluster &all) {
     const auto leader = all.leader();
     REQUIRE(leader);
     const auto listed = all.control(*leader).state().crashes().listed();
@@ -75,14 +75,14 @@
     // Guards against a query of death, and against convicting what ran beside it.
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
         CAPTURE(seed);
-        const auto ready = ready_world({.seed = seed});
-        world &all = *ready;
+        const auto ready = make_ready_cluster({.seed = seed});
+        simulated_cluster &all = *ready;
         std::mt19937_64 random(seed);
         repeat_crashing(all, 20s, random);
         all.run(1s);
         check_contained(all);
         CHECK(quarantined(all) == 1);
-        const std::size_t refused = all.submit_content(0, 4, world::crashing_content);
+        const std::size_t refused = all.submit_content(0, 4, simulated_cluster::crashing_content);
         all.run(1s);
         REQUIRE(all.answer(refused));
         CHECK(all.answer(refused)->error == error_kind::quarantined);
@@ -94,8 +94,8 @@
     // Guards against evidence that only one voter holds.
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
         CAPTURE(seed);
-        const auto ready = ready_world({.seed = seed});
-        world &all = *ready;
+        const auto ready = make_ready_cluster({.seed = seed});
+        simulated_cluster &all = *ready;
         std::mt19937_64 random(seed);
         for (int i = 0; i < 400 && all.crashes().size() < 3; ++i) {
             repeat_crashing(all, 50ms, random);
@@ -120,8 +120,8 @@
     constexpr std::size_t nodes = 5;
     for (std::uint64_t seed = 1; seed <= seeds(); ++seed) {
         CAPTURE(seed);
-        const auto ready = ready_world({.seed = seed});
-        world &all = *ready;
+        const auto ready = make_ready_cluster({.seed = seed});
+        simulated_cluster &all = *ready;
         std::mt19937_64 random(seed);
         for (int round = 0; round < 60; ++round) {
             for (int i = 0; i < 20; ++i) {
--- a/tests/coordination/failures_test.cpp
+++ b/tests/coordination/failures_test.cpp
@@ -1,4 +1,4 @@
-#include "ready_world.hpp"
+#include "ready_cluster.hpp"
 
 #include <doctest/doctest.h>
 
@@ -10,7 +10,7 @@
 
 constexpr std::size_t nodes = 5;
 
-void check_clean(world &in) {
+void check_clean(simulated_cluster &in) {
     in.heal_and_check_progress();
     CHECK(in.violations() == std::vector<std::string>{});
 }
@@ -20,7 +20,7 @@
 }
 
 /// A key whose owner is not the leader's host, and that owner.
-std::pair<unsigned int, std::size_t> key_beyond_leader(world &in) {
+std::pair<unsigned int, std::size_t> key_beyond_leader(simulated_cluster &in) {
     for (unsigned int key = 0; key < 60; ++key) {
         const auto owner = in.owner_of(key);
         if (owner && owner != in.leader()) {
@@ -37,14 +37,14 @@
     // Symptom: two servers act on one key. Sequence: the owner's node is cut off in both directions
     // while it still has requests; another takes its keys over. Cause it guards against: a lease
     // that the cut-off side believes in for longer than the leader waits.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     for (std::size_t i = 0; i < in->hosts(); ++i) {
         in->cut(owner, i);
         in->cut(i, owner);
     }
     for (int i = 0; i < 40; ++i) {
-        in->submit(owner, key, world::request_kind::once, 300ms);
+        in->submit(owner, key, simulated_cluster::request_kind::once, 300ms);
         in->run(50ms);
     }
     const auto taken_by = in->owner_of(key);
@@ -57,7 +57,7 @@
     // Symptom: a node serves on under a lease from a leader that was replaced. Sequence: the leader
     // loses the other voters; nodes on its side go on asking it. Cause it guards against: answering
     // a renewal without a quorum's confirmation after it came.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const std::size_t leader = *in->leader();
     for (std::size_t voter = 0; voter < 3; ++voter) {
         if (voter != leader) {
@@ -66,7 +66,7 @@
         }
     }
     for (int i = 0; i < 60; ++i) {
-        in->submit(3, static_cast<unsigned int>(i % 12), world::request_kind::once);
+        in->submit(3, static_cast<unsigned int>(i % 12), simulated_cluster::request_kind::once);
         in->run(50ms);
     }
     const auto now = in->leader();
@@ -79,7 +79,7 @@
     // Symptom: an old table comes back. Sequence: a voter misses a hundred changes and snapshots,
     // then the network heals. Cause it guards against: its stale log winning an election, or its
     // state reaching nodes.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const std::size_t away = (*in->leader() + 1) % 3;
     for (std::size_t i = 0; i < in->hosts(); ++i) {
         in->cut(away, i);
@@ -102,7 +102,7 @@
     // Symptom: a voter or node never catches up. Sequence: a voter's host is down for changes that
     // were compacted meanwhile. Cause it guards against: asking for entries that no log holds any
     // more.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const std::size_t away = (*in->leader() + 1) % 3;
     in->crash(away);
     for (int i = 0; i < 300; ++i) {
@@ -121,9 +121,9 @@
     // Symptom: a request is written after another server took the key. Sequence: the decision to
     // call the target is made, the process is paused beyond its lease, then goes on. Cause it
     // guards against: not looking at the lease again directly before the write.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
-    const std::size_t number = in->submit(owner, key, world::request_kind::once);
+    const std::size_t number = in->submit(owner, key, simulated_cluster::request_kind::once);
     in->pause(owner);
     in->run(2500ms);
     in->resume(owner);
@@ -136,9 +136,10 @@
     // Symptom: a payment runs twice. Sequence: the target freezes with a request in it, its keys go
     // elsewhere, the caller resends, the target wakes and finishes. Cause it guards against:
     // running a key again whose first run nobody can account for.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
-    const std::size_t number = in->submit(other_than(owner), key, world::request_kind::once);
+    const std::size_t number =
+        in->submit(other_than(owner), key, simulated_cluster::request_kind::once);
     in->run(4ms);
     in->freeze_target(owner);
     in->run(3s);
@@ -154,12 +155,12 @@
     // Symptom: a caller waits until its deadline although owner and network are well. Sequence:
     // what is sent on the open connection is lost in both directions; a new one works. Cause it
     // guards against: trusting an open connection instead of asking over a new one.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     const std::size_t asked = other_than(owner);
     in->silence(asked, owner);
-    const std::size_t read = in->submit(asked, key, world::request_kind::read);
-    const std::size_t once = in->submit(asked, key, world::request_kind::once);
+    const std::size_t read = in->submit(asked, key, simulated_cluster::request_kind::read);
+    const std::size_t once = in->submit(asked, key, simulated_cluster::request_kind::once);
     in->run(700ms);
     REQUIRE(in->answer(read));
     REQUIRE(in->answer(once));
@@ -173,11 +174,11 @@
     // Symptom: a family is charged twice. Sequence: the payment runs, its owner's instance is lost,
     // the caller resends to another node. Cause it guards against: a new owner that does not know
     // the key.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     in->run(1s);
     const auto [key, owner] = key_beyond_leader(*in);
     const std::size_t asked = other_than(owner);
-    const std::size_t number = in->submit(asked, key, world::request_kind::once);
+    const std::size_t number = in->submit(asked, key, simulated_cluster::request_kind::once);
     in->run(200ms);
     REQUIRE(in->answer(number));
     in->crash(owner);
@@ -196,11 +197,11 @@
     // Symptom: a doubled hand-over after two losses. Sequence: the owner is lost, its successor is
     // lost a moment after it took over, the caller resends. Cause it guards against: counting keys
     // as kept before the next standby holds them.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     in->run(1s);
     const auto [key, owner] = key_beyond_leader(*in);
     const std::size_t asked = *in->leader();
-    const std::size_t number = in->submit(asked, key, world::request_kind::once);
+    const std::size_t number = in->submit(asked, key, simulated_cluster::request_kind::once);
     in->run(200ms);
     in->crash(owner);
     std::optional<std::size_t> next;
@@ -223,7 +224,7 @@
     // Symptom: an accepted table is gone. Sequence: a voter is lost for good; a new one takes its
     // place; right after, the leader is lost too. Cause it guards against: counting the new voter
     // before it has caught up.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     for (int i = 0; i < 20; ++i) {
         in->change_table(*in->leader(), in->accepted_version(), "change-" + std::to_string(i), 2);
         in->run(60ms);
@@ -241,7 +242,7 @@
 TEST_CASE("the leader's disk fails") {
     // Symptom: a change is accepted and gone after a power cut. Sequence: syncs begin to fail on
     // the leader. Cause it guards against: acknowledging what was not synced.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const std::size_t leader = *in->leader();
     in->break_disk(leader, fake_storage::fault::sync_fails);
     in->change_table(leader, in->accepted_version(), "on a broken disk", 3);
@@ -256,7 +257,7 @@
     // Symptom: errors at each restart. Sequence: a stop is announced while requests go on from
     // every node. Cause it guards against: cutting off what is in flight, or refusing what could
     // wait.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     std::vector<std::size_t> requests;
     for (int i = 0; i < 100; ++i) {
@@ -264,8 +265,8 @@
             in->announce_stop(owner);
         }
         for (std::size_t node = 0; node < nodes; ++node) {
-            requests.push_back(
-                in->submit(node, static_cast<unsigned int>(i % 12), world::request_kind::once));
+            requests.push_back(in->submit(node, static_cast<unsigned int>(i % 12),
+                                          simulated_cluster::request_kind::once));
         }
         in->run(20ms);
     }
@@ -282,7 +283,7 @@
 TEST_CASE("nothing moves without a cause") {
     // Symptom: keys change owners on a quiet day. Sequence: an hour passes in which nothing happens
     // but requests. Cause it guards against: chasing small differences of load.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     in->run(5s);
     const std::size_t leader = *in->leader();
     std::uint64_t before = 0;
@@ -298,7 +299,7 @@
     before = tokens();
     for (int i = 0; i < 200; ++i) {
         in->submit(static_cast<std::size_t>(i) % nodes, static_cast<unsigned int>(i * 7 % 60),
-                   world::request_kind::read);
+                   simulated_cluster::request_kind::read);
         in->run(100ms);
     }
     CHECK(tokens() == before);
@@ -344,18 +345,18 @@
 TEST_CASE("sequences in which the fuzzer found a violation") {
     // Symptom: a request that may run once ran twice. Sequence: as drawn and shrunk. Cause: an
     // acknowledgement of a standby batch taken for that of a hand-over with the same number.
-    world in({.seed = 376342666});
+    simulated_cluster in({.seed = 376342666});
     in.run(1200ms);
     in.change_table(in.leader().value_or(0), 0, "change-first", 1);
     in.run(2500ms);
     for (unsigned int i = 0; i < 6; ++i) {
-        in.submit((237 + i) % 5, (277 + i / 2) % 12, world::request_kind::once);
+        in.submit((237 + i) % 5, (277 + i / 2) % 12, simulated_cluster::request_kind::once);
     }
     in.run(1041ms);
     in.crash(2);
     in.run(801ms);
     for (unsigned int i = 0; i < 6; ++i) {
-        in.submit((37 + i) % 5, (574 + i / 2) % 12, world::request_kind::once);
+        in.submit((37 + i) % 5, (574 + i / 2) % 12, simulated_cluster::request_kind::once);
     }
     check_clean(in);
 }
@@ -365,7 +366,7 @@
     // Sequence: some nodes lost the way to the leading voter only; they reached the others, and
     // these reached the leader. Cause: a renewal went to the leader or nowhere, so the leases ended
     // and the keys were given away.
-    auto in = ready_world();
+    auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     const std::size_t leader = *in->leader();
     in->cut(owner, leader);
@@ -384,7 +385,7 @@
     // left on device". Room was back, yet the voter never left that role, since its log refused
     // every write after the first that failed. When two other voters were lost 6.2 s later, two of
     // five could vote, nobody led, and routes that had been acknowledged reached no node.
-    auto in = ready_world({.voters = 5});
+    auto in = make_ready_cluster({.voters = 5});
     const std::size_t full = other_than(*in->leader());
     in->break_disk(full, fake_storage::fault::full);
     in->change_table(*in->leader(), in->accepted_version(), "while one disk is full", 2);
@@ -412,7 +413,7 @@
 TEST_CASE("no key loses its owner while the disks of all voters stall") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         CAPTURE(seed);
-        const auto in = ready_world({.seed = seed});
+        const auto in = make_ready_cluster({.seed = seed});
         const auto decided = [&] {
             std::uint64_t most = 0;
             for (std::size_t voter = 0; voter < 3; ++voter) {
@@ -428,7 +429,7 @@
         for (int i = 0; i < 100; ++i) {
             const std::size_t sent =
                 in->submit(static_cast<std::size_t>(i) % 5, static_cast<unsigned int>(i) % 12,
-                           world::request_kind::once);
+                           simulated_cluster::request_kind::once);
             in->run(200ms);
             REQUIRE(in->answer(sent));
             CHECK(in->answer(sent)->result == outcome::ran);
@@ -442,7 +443,7 @@
 TEST_CASE("a leader is elected though the disks of others are slow") {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         CAPTURE(seed);
-        const auto in = ready_world({.seed = seed});
+        const auto in = make_ready_cluster({.seed = seed});
         const std::size_t lost = in->leader().value();
         for (std::size_t voter = 0; voter < 3; ++voter) {
             const bool fast = voter == (lost + 1 + seed % 2) % 3;
--- a/tests/coordination/fuzz_actions.cpp
+++ b/tests/coordination/fuzz_actions.cpp
@@ -21,16 +21,16 @@
                                                          4,  3, 3,  3, 2, 3, 3, 2, 1, 1, 2,
                                                          2,  1, 1,  1, 8, 5, 3, 3, 3, 3};
 
-void burst(world &in, unsigned int key, unsigned int node) {
+void burst(simulated_cluster &in, unsigned int key, unsigned int node) {
     constexpr unsigned int requests = 6;
     for (unsigned int i = 0; i < requests; ++i) {
-        in.submit((node + i) % 5, (key + i / 2) % 12, world::request_kind::once);
+        in.submit((node + i) % 5, (key + i / 2) % 12, simulated_cluster::request_kind::once);
     }
     in.resend(in.submissions() - 1 - key % requests, (node + 1) % 5);
 }
 
 /// Cuts one voter off from the others; every other node stays on a side drawn by `sides`.
-void split(world &in, std::size_t voter, unsigned int sides) {
+void split(simulated_cluster &in, std::size_t voter, unsigned int sides) {
     const auto side = [&](std::size_t host) {
         return host < 3 ? host == voter : ((sides >> host) & 1U) != 0;
     };
@@ -43,7 +43,7 @@
     }
 }
 
-void change(world &in, unsigned int voter, unsigned int number, std::uint64_t base) {
+void change(simulated_cluster &in, unsigned int voter, unsigned int number, std::uint64_t base) {
     in.change_table(voter, base, "change-" + std::to_string(number), 1 + number % 5);
 }
 
@@ -54,7 +54,7 @@
                << value.b << "}";
 }
 
-void perform(world &in, const action &value) {
+void perform(simulated_cluster &in, const action &value) {
     constexpr std::size_t nodes = 5;
     constexpr std::size_t voters = 3;
     const std::size_t node = value.a % nodes;
@@ -65,10 +65,14 @@
     case action_kind::wait:
         in.run(std::chrono::milliseconds(1 + value.a % 40 * (value.b % 3 == 0 ? 40 : 4)));
         break;
-    case action_kind::read: in.submit(node, value.b % 12, world::request_kind::read); break;
-    case action_kind::once: in.submit(node, value.b % 12, world::request_kind::once); break;
+    case action_kind::read:
+        in.submit(node, value.b % 12, simulated_cluster::request_kind::read);
+        break;
+    case action_kind::once:
+        in.submit(node, value.b % 12, simulated_cluster::request_kind::once);
+        break;
     case action_kind::once_without_key:
-        in.submit(node, value.b % 12, world::request_kind::once_without_key);
+        in.submit(node, value.b % 12, simulated_cluster::request_kind::once_without_key);
         break;
     case action_kind::resend:
         in.resend(value.b % 3 == 0 ? value.b : in.submissions() - 1 - value.b % 20, node);
@@ -120,7 +124,7 @@
 
 sequence_result run_sequence(std::uint64_t seed, const std::vector<action> &actions,
                              voter_disks disks) {
-    world in({.seed = seed, .write_behind = disks == voter_disks::written_behind});
+    simulated_cluster in({.seed = seed, .write_behind = disks == voter_disks::written_behind});
     in.run(std::chrono::milliseconds(1200));
     if (const auto leading = in.leader()) {
         in.change_table(*leading, 0, "change-first", 1);
--- a/tests/coordination/fuzz_actions.hpp
+++ b/tests/coordination/fuzz_actions.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <rapidcheck.h>
 
@@ -58,7 +58,7 @@
 std::ostream &operator<<(std::ostream &out, const action &value);
 
 /// Does one step in the world.
-void perform(world &in, const action &value);
+void perform(simulated_cluster &in, const action &value);
 
 /// A fresh world with a table in force and every key served, then all steps, then the checks.
 /// Yields the violations.
--- a/tests/coordination/ready_world.hpp
+++ b/tests/coordination/ready_cluster.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include <doctest/doctest.h>
 #include <memory>
@@ -8,8 +8,9 @@
 namespace peppertack::testing {
 
 /// A world with a table in force and every key served.
-inline std::unique_ptr<world> ready_world(world::options settings = {}) {
-    auto in = std::make_unique<world>(settings);
+inline std::unique_ptr<simulated_cluster>
+make_ready_cluster(simulated_cluster::options settings = {}) {
+    auto in = std::make_unique<simulated_cluster>(settings);
     in->run(std::chrono::milliseconds(1200));
     REQUIRE(in->leader());
     in->change_table(*in->leader(), 0, "first", 1);
--- a/tests/coordination/world.cpp
+++ b/tests/coordination/simulated_cluster.cpp
@@ -1,4 +1,4 @@
-#include "world.hpp"
+#include "simulated_cluster.hpp"
 
 #include "peppertack/coordination/planted_defects.hpp"
 #include "peppertack/state/key_hash.hpp"
@@ -23,7 +23,7 @@
 
 } // namespace
 
-world::world(options settings)
+simulated_cluster::simulated_cluster(options settings)
     : m_options(settings), m_random(settings.seed), m_disk_random(settings.seed) {
     const std::size_t count = settings.nodes + settings.spares;
     for (std::size_t i = 0; i < count; ++i) {
@@ -44,13 +44,13 @@
     }
 }
 
-world::~world() = default;
+simulated_cluster::~simulated_cluster() = default;
 
-std::string world::service_of(std::size_t node) const {
+std::string simulated_cluster::service_of(std::size_t node) const {
     return m_options.second_service && node % 5 >= 3 ? second_service : first_service;
 }
 
-moment world::clock_of(const host &which) const {
+moment simulated_cluster::clock_of(const host &which) const {
     const auto passed = static_cast<double>((m_now - which.rate_since).count()) * which.rate;
     const instant local(duration(which.clock_base + static_cast<std::int64_t>(passed)));
     const std::int64_t wall =
@@ -58,14 +58,14 @@
     return {local, wall};
 }
 
-void world::set_clock_rate(std::size_t index, double rate) {
+void simulated_cluster::set_clock_rate(std::size_t index, double rate) {
     host &item = *m_hosts[index];
     item.clock_base = clock_of(item).now.time_since_epoch().count();
     item.rate_since = m_now;
     item.rate = rate;
 }
 
-void world::start_processes(std::size_t index) {
+void simulated_cluster::start_processes(std::size_t index) {
     host &item = *m_hosts[index];
     ++item.life;
     item.alive = true;
@@ -122,7 +122,7 @@
     schedule(duration(m_random() % 10'000), index, [this, index] { tick(index); });
 }
 
-void world::note_decision(const audit_record &record) {
+void simulated_cluster::note_decision(const audit_record &record) {
     const auto [place, added] = m_audit.try_emplace(record.sequence, record.hash);
     if (place->second != record.hash) {
         violate("two voters hold different decisions number " + std::to_string(record.sequence));
@@ -130,7 +130,7 @@
 }
 
 /// What a disk held that was only broken for a while must serve again.
-void world::tend_disk(std::size_t index) {
+void simulated_cluster::tend_disk(std::size_t index) {
     host &item = *m_hosts[index];
     take_disk_news(index, item.voting->tend_disk(clock_of(item)));
     start_disk_task(index);
@@ -138,7 +138,7 @@
 
 /// A write reaches the disk at once or only at the end of its time: a crash in between leaves all
 /// of it or nothing.
-void world::start_disk_task(std::size_t index) {
+void simulated_cluster::start_disk_task(std::size_t index) {
     host &item = *m_hosts[index];
     std::optional<durable_voter::disk_task> task =
         item.voting ? item.voting->take_disk_task() : std::nullopt;
@@ -159,7 +159,7 @@
     });
 }
 
-void world::take_disk_news(std::size_t index, durable_voter::disk_news news) {
+void simulated_cluster::take_disk_news(std::size_t index, durable_voter::disk_news news) {
     host &item = *m_hosts[index];
     switch (news) {
     case durable_voter::disk_news::none:
@@ -171,12 +171,12 @@
     }
 }
 
-void world::schedule(duration delay, std::size_t index, std::function<void()> act) {
+void simulated_cluster::schedule(duration delay, std::size_t index, std::function<void()> act) {
     m_events.push_back({m_now + delay, m_order++, index, m_hosts[index]->life, std::move(act)});
     std::push_heap(m_events.begin(), m_events.end(), std::greater<>());
 }
 
-void world::run(duration time) {
+void simulated_cluster::run(duration time) {
     const instant until = m_now + time;
     while (!m_events.empty() && m_events.front().at <= until) {
         std::pop_heap(m_events.begin(), m_events.end(), std::greater<>());
@@ -201,7 +201,7 @@
     check_pending();
 }
 
-void world::tick(std::size_t index) {
+void simulated_cluster::tick(std::size_t index) {
     host &item = *m_hosts[index];
     if (item.voting) {
         item.voting->core().tick(clock_of(item));
@@ -216,7 +216,7 @@
     schedule(tick_interval, index, [this, index] { tick(index); });
 }
 
-void world::announce(std::size_t index) {
+void simulated_cluster::announce(std::size_t index) {
     host &item = *m_hosts[index];
     if (item.target.up && !item.target.frozen) {
         const target_announcement announcement{.name = "target-" + std::to_string(index),
@@ -233,14 +233,14 @@
 }
 
 /// A term has at most one leader, or two histories could both be acknowledged.
-void world::check_leader(std::size_t index) {
+void simulated_cluster::check_leader(std::size_t index) {
     const replica &log = m_hosts[index]->voting->core().replication();
     if (log.leads() && m_term_leaders.try_emplace(log.term(), index).first->second != index) {
         violate("two voters lead in one term");
     }
 }
 
-void world::carry_out(std::size_t index) {
+void simulated_cluster::carry_out(std::size_t index) {
     host &item = *m_hosts[index];
     if (item.voting) {
         check_leader(index);
@@ -291,7 +291,7 @@
     }
 }
 
-std::size_t world::index_of(const node_address &address) const {
+std::size_t simulated_cluster::index_of(const node_address &address) const {
     for (std::size_t i = 0; i < m_hosts.size(); ++i) {
         if (m_hosts[i]->address == address) {
             return i;
@@ -300,7 +300,7 @@
     return m_hosts.size();
 }
 
-void world::send(std::size_t from, const outgoing &item) {
+void simulated_cluster::send(std::size_t from, const outgoing &item) {
     const std::size_t to = index_of(item.to);
     if (to >= m_hosts.size() || !m_hosts[to]->alive || m_cuts.count({from, to}) != 0) {
         return;
@@ -324,7 +324,7 @@
     }
 }
 
-void world::deliver(std::size_t to, const node_address &from, const message &body) {
+void simulated_cluster::deliver(std::size_t to, const node_address &from, const message &body) {
     host &item = *m_hosts[to];
     const bool for_control = is_for_control(body);
     if (for_control && item.voting) {
@@ -340,12 +340,12 @@
 
 // ---- targets ----
 
-void world::start_call(std::size_t index, const target_call &call) {
+void simulated_cluster::start_call(std::size_t index, const target_call &call) {
     // Time between the decision and the write, in which the process may be paused.
     schedule(duration(m_random() % 2000), index, [this, index, call] { write_call(index, call); });
 }
 
-void world::write_call(std::size_t index, const target_call &call) {
+void simulated_cluster::write_call(std::size_t index, const target_call &call) {
     host &item = *m_hosts[index];
     const instant now = clock_of(item).now;
     if (item.cancelled.count(call.call) != 0 || now >= call.not_after || !item.target.up) {
@@ -367,7 +367,8 @@
              [this, index, call, target_life] { run_at_target(index, call, target_life); });
 }
 
-void world::run_at_target(std::size_t index, const target_call &call, std::uint64_t target_life) {
+void simulated_cluster::run_at_target(std::size_t index, const target_call &call,
+                                      std::uint64_t target_life) {
     host &item = *m_hosts[index];
     if (!item.target.up || item.target.life != target_life) {
         end_call(index, call.call, {.result = call_result::kind::lost});
@@ -410,7 +411,7 @@
     end_call(index, call.call, result);
 }
 
-void world::end_call(std::size_t index, std::uint64_t call, call_result result) {
+void simulated_cluster::end_call(std::size_t index, std::uint64_t call, call_result result) {
     host &item = *m_hosts[index];
     item.node->call_finished(call, std::move(result), clock_of(item));
     carry_out(index);
@@ -418,17 +419,17 @@
 
 // ---- callers ----
 
-std::size_t world::submit(std::size_t index, unsigned int key, request_kind kind,
-                          duration deadline) {
+std::size_t simulated_cluster::submit(std::size_t index, unsigned int key, request_kind kind,
+                                      duration deadline) {
     return submit({.node = index, .key = key, .kind = kind}, deadline);
 }
 
-std::size_t world::submit_content(std::size_t index, unsigned int key, const std::string &content,
-                                  duration deadline) {
+std::size_t simulated_cluster::submit_content(std::size_t index, unsigned int key,
+                                              const std::string &content, duration deadline) {
     return submit({.node = index, .key = key, .content = content}, deadline);
 }
 
-std::size_t world::submit(submission item, duration deadline) {
+std::size_t simulated_cluster::submit(submission item, duration deadline) {
     const std::size_t index = item.node;
     const unsigned int key = item.key;
     const request_kind kind = item.kind;
@@ -461,7 +462,7 @@
     return number;
 }
 
-void world::resend(std::size_t number, std::size_t index) {
+void simulated_cluster::resend(std::size_t number, std::size_t index) {
     if (m_submissions.empty()) {
         return;
     }
@@ -491,7 +492,7 @@
     carry_out(index);
 }
 
-void world::take_answer(const caller_answer &answer, host &at) {
+void simulated_cluster::take_answer(const caller_answer &answer, host &at) {
     const auto found = at.tickets.find(answer.ticket);
     if (found == at.tickets.end()) {
         violate("an answer for a request that nobody waits for");
@@ -503,7 +504,7 @@
     check_answer(item);
 }
 
-void world::check_answer(const submission &item) {
+void simulated_cluster::check_answer(const submission &item) {
     const caller_response &response = *item.answer;
     const std::size_t runs = m_runs_by_submission[item.body()];
     if (response.result == outcome::ran && response.status == 200) {
@@ -530,7 +531,7 @@
 
 // ---- operators ----
 
-std::string world::table_csv(double weight) const {
+std::string simulated_cluster::table_csv(double weight) const {
     std::string csv = "service,failure_domain,weight,max_in_flight,max_connections,max_queue\n";
     for (const char *service : {first_service, second_service}) {
         for (int zone = 0; zone < 3; ++zone) {
@@ -541,8 +542,8 @@
     return csv;
 }
 
-void world::change_table(std::size_t voter, std::uint64_t base_version,
-                         const std::string &change_id, double weight) {
+void simulated_cluster::change_table(std::size_t voter, std::uint64_t base_version,
+                                     const std::string &change_id, double weight) {
     host &item = *m_hosts[voter];
     if (!item.alive || item.paused || !item.voting) {
         return;
@@ -555,7 +556,7 @@
     carry_out(voter);
 }
 
-void world::announce_stop(std::size_t node) {
+void simulated_cluster::announce_stop(std::size_t node) {
     const std::optional<std::size_t> leading = leader();
     const target_number number =
         m_hosts[node]->node ? m_hosts[node]->node->lease().number() : no_target;
@@ -568,7 +569,7 @@
     carry_out(*leading);
 }
 
-void world::begin_stop(std::size_t node) {
+void simulated_cluster::begin_stop(std::size_t node) {
     host &item = *m_hosts[node];
     if (item.alive && !item.paused && item.node) {
         item.stopping = true;
@@ -577,7 +578,7 @@
     }
 }
 
-std::optional<std::size_t> world::leader() const {
+std::optional<std::size_t> simulated_cluster::leader() const {
     for (std::size_t i = 0; i < m_hosts.size(); ++i) {
         const host &item = *m_hosts[i];
         if (item.alive && !item.paused && item.voting && item.voting->core().established()) {
@@ -589,7 +590,7 @@
 
 // ---- faults ----
 
-void world::crash(std::size_t index) {
+void simulated_cluster::crash(std::size_t index) {
     host &item = *m_hosts[index];
     if (!item.alive) {
         return;
@@ -601,18 +602,18 @@
     item.target.life++; // its node is gone: what runs there ends without an answer
 }
 
-void world::restart(std::size_t index) {
+void simulated_cluster::restart(std::size_t index) {
     host &item = *m_hosts[index];
     if (!item.alive && !item.gone && (index < m_options.nodes || item.voter)) {
         start_processes(index);
     }
 }
 
-void world::pause(std::size_t index) {
+void simulated_cluster::pause(std::size_t index) {
     m_hosts[index]->paused = true;
 }
 
-void world::resume(std::size_t index) {
+void simulated_cluster::resume(std::size_t index) {
     host &item = *m_hosts[index];
     if (!item.paused) {
         return;
@@ -625,11 +626,11 @@
     }
 }
 
-void world::cut(std::size_t from, std::size_t to) {
+void simulated_cluster::cut(std::size_t from, std::size_t to) {
     m_cuts.insert({from, to});
 }
 
-void world::heal_network() {
+void simulated_cluster::heal_network() {
     m_cuts.clear();
     m_silent.clear();
     m_slowness = {};
@@ -637,21 +638,21 @@
     m_duplicate_percent = 0;
 }
 
-void world::silence(std::size_t a, std::size_t b) {
+void simulated_cluster::silence(std::size_t a, std::size_t b) {
     m_silent.insert({a, b});
     m_silent.insert({b, a});
 }
 
-void world::set_losses(unsigned int drop_percent, unsigned int duplicate_percent) {
+void simulated_cluster::set_losses(unsigned int drop_percent, unsigned int duplicate_percent) {
     m_drop_percent = drop_percent;
     m_duplicate_percent = duplicate_percent;
 }
 
-void world::break_disk(std::size_t voter, fake_storage::fault fault) {
+void simulated_cluster::break_disk(std::size_t voter, fake_storage::fault fault) {
     m_hosts[voter]->disk->set_fault(fault);
 }
 
-void world::crash_target(std::size_t node) {
+void simulated_cluster::crash_target(std::size_t node) {
     host &item = *m_hosts[node];
     item.target.up = false;
     item.target.frozen = false;
@@ -659,19 +660,19 @@
     item.target.highest.clear();
 }
 
-void world::start_target(std::size_t node) {
+void simulated_cluster::start_target(std::size_t node) {
     m_hosts[node]->target.up = true;
 }
 
-void world::freeze_target(std::size_t node) {
+void simulated_cluster::freeze_target(std::size_t node) {
     m_hosts[node]->target.frozen = true;
 }
 
-void world::thaw_target(std::size_t node) {
+void simulated_cluster::thaw_target(std::size_t node) {
     m_hosts[node]->target.frozen = false;
 }
 
-void world::replace_voter(std::size_t voter) {
+void simulated_cluster::replace_voter(std::size_t voter) {
     const std::size_t spare = m_options.nodes;
     const std::optional<std::size_t> leading = leader();
     if (spare >= m_hosts.size() || m_hosts[spare]->voter || !leading || *leading == voter ||
@@ -691,14 +692,14 @@
 
 // ---- the oracle ----
 
-void world::violate(const std::string &what) {
+void simulated_cluster::violate(const std::string &what) {
     if (m_violations.size() < most_violations) {
         m_violations.push_back("at " + std::to_string(m_now.time_since_epoch().count() / 1000) +
                                " ms: " + what);
     }
 }
 
-std::optional<std::size_t> world::owner_of(unsigned int key) const {
+std::optional<std::size_t> simulated_cluster::owner_of(unsigned int key) const {
     const std::uint64_t hash = key_hash(key_name(key));
     const std::string service =
         m_options.second_service && key % 3 == 2 ? second_service : first_service;
@@ -713,7 +714,7 @@
 }
 
 /// A key has at most one owner, paused and cut-off ones included: on waking they look at the clock.
-void world::check_owners() {
+void simulated_cluster::check_owners() {
     constexpr std::uint64_t samples = 32;
     for (std::uint64_t i = 0; i < samples; ++i) {
         const std::uint64_t hash = i * (~0ULL / samples) + m_random() % (~0ULL / samples);
@@ -733,7 +734,7 @@
     }
 }
 
-void world::check_tables() {
+void simulated_cluster::check_tables() {
     for (std::size_t i = 0; i < m_options.nodes; ++i) {
         host &item = *m_hosts[i];
         if (!item.alive || !item.node) {
@@ -753,7 +754,7 @@
     }
 }
 
-void world::check_histories() {
+void simulated_cluster::check_histories() {
     for (const std::unique_ptr<host> &item : m_hosts) {
         if (!item->alive || !item->voting) {
             continue;
@@ -777,7 +778,7 @@
     }
 }
 
-void world::check_pending() {
+void simulated_cluster::check_pending() {
     for (const submission &item : m_submissions) {
         const host &at = *m_hosts[item.node];
         const bool owed = item.node_life == at.life && at.alive && !at.paused;
@@ -789,7 +790,7 @@
     }
 }
 
-void world::check_final() {
+void simulated_cluster::check_final() {
     for (const submission &item : m_submissions) {
         if (item.answer) {
             check_answer(item);
@@ -797,7 +798,7 @@
     }
 }
 
-void world::heal_and_check_progress() {
+void simulated_cluster::heal_and_check_progress() {
     heal_network();
     for (std::size_t i = 0; i < m_hosts.size(); ++i) {
         host &item = *m_hosts[i];
@@ -851,23 +852,23 @@
 
 // ---- what tests look at ----
 
-const std::optional<caller_response> &world::answer(std::size_t number) const {
+const std::optional<caller_response> &simulated_cluster::answer(std::size_t number) const {
     return m_submissions[number].answer;
 }
 
-std::size_t world::runs_of(std::size_t number) const {
+std::size_t simulated_cluster::runs_of(std::size_t number) const {
     const auto found = m_runs_by_submission.find(m_submissions[number].body());
     return found == m_runs_by_submission.end() ? 0 : found->second;
 }
 
-std::size_t world::answered(outcome result) const {
+std::size_t simulated_cluster::answered(outcome result) const {
     return static_cast<std::size_t>(
         std::count_if(m_submissions.begin(), m_submissions.end(), [&](const submission &item) {
             return item.answer && item.answer->result == result;
         }));
 }
 
-double world::served_share() const {
+double simulated_cluster::served_share() const {
     constexpr unsigned int keys = 60;
     unsigned int served = 0;
     for (unsigned int key = 0; key < keys; ++key) {
--- a/tests/coordination/world.hpp
+++ b/tests/coordination/simulated_cluster.hpp
@@ -16,7 +16,7 @@
 
 /// A handful of voters, nodes and targets on a fake network, with fake disks and clocks, in virtual
 /// time. After each event an oracle checks what must always hold and notes violations.
-class world {
+class simulated_cluster {
 public:
     struct options {
         std::uint64_t seed = 1;
@@ -29,8 +29,8 @@
         bool write_behind = true;
     };
 
-    explicit world(options settings);
-    ~world();
+    explicit simulated_cluster(options settings);
+    ~simulated_cluster();
 
     // ---- what operators, callers and faults do ----
     void run(duration time);
