--- a/include/peppertack/coordination/control_core.hpp
+++ b/include/peppertack/coordination/control_core.hpp
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "peppertack/coordination/lease_book.hpp"
-#include "peppertack/coordination/load_book.hpp"
+#include "peppertack/coordination/load_tracker.hpp"
 #include "peppertack/coordination/map_updates.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/coordination/node_report.hpp"
@@ -183,7 +183,7 @@
     std::unordered_set<std::string> m_registering;
     std::unordered_set<std::uint64_t>
         m_reporting; ///< ended incarnations already proposed as crashes
-    load_book m_loads;
+    load_tracker m_loads;
     std::unordered_map<std::string, std::uint64_t> m_owner_changes;
     std::unordered_set<std::string> m_granted_once; ///< services whose first grant was applied
     std::vector<outgoing> m_outgoing;
--- a/include/peppertack/coordination/load_book.hpp
+++ b/include/peppertack/coordination/load_tracker.hpp
@@ -13,7 +13,7 @@
 /// Load statistics of a leader: request rates of ranges and hot keys, and capacities of targets, as
 /// nodes report them. Not replicated: a new leader rebuilds them from the next reports. Not thread
 /// safe.
-class load_book {
+class load_tracker {
 public:
     /// Records the loads and the capacity that a node reports for a target.
     void note(const std::string &service, target_number target, const renew_request &report,
--- a/src/coordination/load_book.cpp
+++ b/src/coordination/load_tracker.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/load_book.hpp"
+#include "peppertack/coordination/load_tracker.hpp"
 
 #include <algorithm>
 
@@ -27,8 +27,8 @@
 
 } // namespace
 
-void load_book::note(const std::string &service, target_number target, const renew_request &report,
-                     instant now) {
+void load_tracker::note(const std::string &service, target_number target,
+                        const renew_request &report, instant now) {
     if (report.capacity > 0) {
         measured_capacity &known = m_capacities[target];
         known.value +=
@@ -45,7 +45,7 @@
     }
 }
 
-void load_book::forget_old(instant now) {
+void load_tracker::forget_old(instant now) {
     const auto old = [now](const auto &item) { return item.second.at + load_memory < now; };
     for (auto &[service, load] : m_services) {
         std::erase_if(load.ranges, old);
@@ -53,12 +53,12 @@
     }
 }
 
-void load_book::clear() {
+void load_tracker::clear() {
     m_capacities.clear();
     m_services.clear();
 }
 
-void load_book::describe(const std::string &service, placement_view &view) const {
+void load_tracker::describe(const std::string &service, placement_view &view) const {
     const auto load = m_services.find(service);
     if (load == m_services.end()) {
         return;
@@ -77,13 +77,13 @@
     std::sort(view.hot_keys.begin(), view.hot_keys.end());
 }
 
-double load_book::capacity_of(const placement_target &target) const {
+double load_tracker::capacity_of(const placement_target &target) const {
     const auto found = m_capacities.find(target.number);
     const bool settled = found != m_capacities.end() && found->second.reports >= settled_reports;
     return settled && target.weight > 0 ? found->second.value : 0.0;
 }
 
-void load_book::weigh_by_capacity(placement_view &view) const {
+void load_tracker::weigh_by_capacity(placement_view &view) const {
     double total = 0;
     std::size_t measured = 0;
     for (const placement_target &target : view.targets) {
@@ -104,8 +104,8 @@
     }
 }
 
-void load_book::share(const std::string &service, std::uint64_t first,
-                      const std::vector<std::uint64_t> &cuts) {
+void load_tracker::share(const std::string &service, std::uint64_t first,
+                         const std::vector<std::uint64_t> &cuts) {
     const auto load = m_services.find(service);
     if (load == m_services.end()) {
         return;
--- a/tests/coordination/load_book_test.cpp
+++ b/tests/coordination/load_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/load_book.hpp"
+#include "peppertack/coordination/load_tracker.hpp"
 
 #include <doctest/doctest.h>
 
@@ -19,7 +19,7 @@
 } // namespace
 
 TEST_CASE("loads follow the reports, are shared out at a cut and forgotten in the end") {
-    load_book book;
+    load_tracker book;
     book.note("s", 1, report(0, {{10, 80, {20, 30, 40}}}), start);
     placement_view view;
     book.describe("s", view);
@@ -39,7 +39,7 @@
 }
 
 TEST_CASE("weights follow what targets were measured to do, within bounds") {
-    load_book book;
+    load_tracker book;
     for (int i = 0; i < 5; ++i) {
         book.note("s", 1, report(100, {{0, 1, {}}}), start);
         book.note("s", 2, report(300, {{0, 1, {}}}), start);
