--- a/include/peppertack/coordination/control_core.hpp
+++ b/include/peppertack/coordination/control_core.hpp
@@ -145,7 +145,8 @@
     void finish_stops(const std::string &service, moment at);
     void close_memory_windows(moment at);
     placement_view view_of(const std::string &service) const;
-    void split(const std::string &service, const std::vector<std::uint64_t> &cuts, moment at);
+    void split(const std::string &service, const std::vector<std::uint64_t> &split_points,
+               moment at);
     target_number standby_for(const target_record &record,
                               const std::map<target_number, std::size_t> &duties) const;
     void propose(moment at, std::string actor, std::string cause, command_body body);
--- a/include/peppertack/coordination/load_cuts.hpp
+++ b/include/peppertack/coordination/load_split_points.hpp
@@ -20,7 +20,7 @@
 /// that become busy within a second; repeated halving needed one move per step, ten seconds in all.
 ///
 /// Preconditions: `loads` is sorted by key; `part` is not 0. Thread safe.
-std::vector<std::uint32_t> load_cuts(const std::vector<key_load> &loads, std::uint64_t part,
-                                     std::size_t most);
+std::vector<std::uint32_t> load_split_points(const std::vector<key_load> &loads, std::uint64_t part,
+                                             std::size_t most);
 
 } // namespace peppertack
--- a/include/peppertack/coordination/load_tracker.hpp
+++ b/include/peppertack/coordination/load_tracker.hpp
@@ -30,16 +30,17 @@
     /// table row expresses: equal shares would overload slow targets while fast ones have room. A
     /// target without a measurement counts as average.
     void weigh_by_capacity(placement_view &view) const;
-    /// Divides the rate of a range that was split at `cuts` evenly among its parts, until these are
-    /// measured. Otherwise the upper parts would look idle and the lowest as heavy as before.
+    /// Divides the rate of a range that was split at `split_points` evenly among its parts, until
+    /// these are measured. Otherwise the upper parts would look idle and the lowest as heavy as
+    /// before.
     void share(const std::string &service, std::uint64_t first,
-               const std::vector<std::uint64_t> &cuts);
+               const std::vector<std::uint64_t> &split_points);
 
 private:
     struct measured_rate {
         double rate = 0; ///< requests per second
         instant at{};
-        std::vector<std::uint64_t> cuts; ///< see `range_load`
+        std::vector<std::uint64_t> split_points; ///< see `range_load`
     };
     /// Smoothed capacity of a target as its node measures it, in requests per second.
     struct measured_capacity {
--- a/include/peppertack/coordination/messages.hpp
+++ b/include/peppertack/coordination/messages.hpp
@@ -91,7 +91,7 @@
     std::uint64_t first = 0;
     std::uint32_t requests = 0;
     /// Ascending split points that divide a heavy range into lighter parts; empty otherwise.
-    std::vector<std::uint64_t> cuts;
+    std::vector<std::uint64_t> split_points;
 
     friend bool operator==(const range_load &, const range_load &) = default;
 };
--- a/include/peppertack/coordination/placement.hpp
+++ b/include/peppertack/coordination/placement.hpp
@@ -28,7 +28,7 @@
     std::unordered_map<std::uint64_t, double> loads;
     /// Split points of heavy ranges, by the first hash of the range. Ranges without an entry are
     /// split in the middle of their width; an empty list means that no split would help.
-    std::unordered_map<std::uint64_t, std::vector<std::uint64_t>> cuts;
+    std::unordered_map<std::uint64_t, std::vector<std::uint64_t>> split_points;
     std::vector<std::uint64_t> hot_keys; ///< hashes of keys with a large share of a range's load
     /// Ranges are split only at multiples of this: the distance between adjacent keys of an ordered
     /// key space; 1 for hashed keys.
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -746,10 +746,10 @@
     return view;
 }
 
-void control_core::split(const std::string &service, const std::vector<std::uint64_t> &cuts,
+void control_core::split(const std::string &service, const std::vector<std::uint64_t> &split_points,
                          moment at) {
     std::map<std::uint64_t, std::vector<std::uint64_t>> by_range;
-    for (const std::uint64_t cut : cuts) {
+    for (const std::uint64_t cut : split_points) {
         propose(at, placement_actor, "range too heavy or too wide", split_range{service, cut});
         by_range[m_state.find_range(service, cut)->first].push_back(cut);
     }
--- a/src/coordination/key_load_counter.cpp
+++ b/src/coordination/key_load_counter.cpp
@@ -1,6 +1,6 @@
 #include "peppertack/coordination/key_load_counter.hpp"
 
-#include "peppertack/coordination/load_cuts.hpp"
+#include "peppertack/coordination/load_split_points.hpp"
 #include "peppertack/state/key_hash.hpp"
 
 #include <algorithm>
@@ -44,8 +44,8 @@
     }
     range_load load{.first = range.record.first, .requests = a_second(total, seconds)};
     const auto part = static_cast<std::uint64_t>(capacity * seconds / parts_of_capacity) + 1;
-    for (const std::uint32_t key : load_cuts(keys, part, most_cuts)) {
-        load.cuts.push_back(ordered_key_hash(key));
+    for (const std::uint32_t key : load_split_points(keys, part, most_cuts)) {
+        load.split_points.push_back(ordered_key_hash(key));
     }
     return load;
 }
--- a/src/coordination/load_tracker.cpp
+++ b/src/coordination/load_tracker.cpp
@@ -38,7 +38,7 @@
     for (const range_load &item : report.loads) {
         measured_rate &measured = load.ranges[item.first];
         const double rate = measured.rate * (1 - latest_weight) + item.requests * latest_weight;
-        measured = {rate, now, item.cuts};
+        measured = {rate, now, item.split_points};
     }
     for (const hot_key &item : report.hot_keys) {
         load.hot[item.hash] = {static_cast<double>(item.requests), now};
@@ -66,7 +66,7 @@
     double total = 0;
     for (const auto &[first, measured] : load->second.ranges) {
         view.loads[first] = measured.rate;
-        view.cuts[first] = measured.cuts;
+        view.split_points[first] = measured.split_points;
         total += measured.rate;
     }
     for (const auto &[hash, measured] : load->second.hot) {
@@ -105,7 +105,7 @@
 }
 
 void load_tracker::share(const std::string &service, std::uint64_t first,
-                         const std::vector<std::uint64_t> &cuts) {
+                         const std::vector<std::uint64_t> &split_points) {
     const auto load = m_services.find(service);
     if (load == m_services.end()) {
         return;
@@ -114,10 +114,10 @@
     if (found == load->second.ranges.end()) {
         return;
     }
-    found->second.rate /= static_cast<double>(cuts.size() + 1);
-    found->second.cuts.clear();
+    found->second.rate /= static_cast<double>(split_points.size() + 1);
+    found->second.split_points.clear();
     const measured_rate part = found->second;
-    for (const std::uint64_t cut : cuts) {
+    for (const std::uint64_t cut : split_points) {
         load->second.ranges[cut] = part;
     }
 }
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -301,8 +301,8 @@
 std::vector<std::uint64_t> cuts_of(const placement_view &view, std::size_t i) {
     const std::uint64_t first = (*view.ranges)[i].first;
     const std::uint64_t last = last_hash(*view.ranges, i);
-    const auto measured = view.cuts.find(first);
-    if (measured == view.cuts.end()) {
+    const auto measured = view.split_points.find(first);
+    if (measured == view.split_points.end()) {
         const std::optional<std::uint64_t> middle = middle_of(view, i);
         return middle ? std::vector{*middle} : std::vector<std::uint64_t>{};
     }
@@ -340,8 +340,8 @@
         }
         if (bench.share(i) > bench.goal(owner) / 4 && bench.ratio(owner) > 1 &&
             bench.busy(owner, options.busy_part)) {
-            const std::vector<std::uint64_t> cuts = cuts_of(view, i);
-            decision.splits.insert(decision.splits.end(), cuts.begin(), cuts.end());
+            const std::vector<std::uint64_t> split_points = cuts_of(view, i);
+            decision.splits.insert(decision.splits.end(), split_points.begin(), split_points.end());
         }
     }
     // Both rules may yield the same split point for a hot key.
--- a/src/protocol/codec.cpp
+++ b/src/protocol/codec.cpp
@@ -237,7 +237,7 @@
 void write(const range_load &value, wire::RangeLoad::Builder out) {
     out.setFirst(value.first);
     out.setRequests(value.requests);
-    write_numbers(out.initCuts(size_of(value.cuts.size())), value.cuts);
+    write_numbers(out.initCuts(size_of(value.split_points.size())), value.split_points);
 }
 
 void write(const hot_key &value, wire::RangeLoad::Builder out) {
--- a/tests/coordination/key_load_counter_test.cpp
+++ b/tests/coordination/key_load_counter_test.cpp
@@ -46,7 +46,7 @@
     }
     renew_request request;
     counter.report(request, two_ranges, 400, 1); // 200 requests; a tenth is 40
-    CHECK(request.loads[0].cuts.size() >= 4);
-    CHECK(request.loads[0].cuts.size() <= 6);
-    CHECK(request.loads[1].cuts.empty());
+    CHECK(request.loads[0].split_points.size() >= 4);
+    CHECK(request.loads[0].split_points.size() <= 6);
+    CHECK(request.loads[1].split_points.empty());
 }
--- a/tests/coordination/load_cuts_test.cpp
+++ b/tests/coordination/load_split_points_test.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/load_cuts.hpp"
+#include "peppertack/coordination/load_split_points.hpp"
 
 #include <doctest/doctest.h>
 
@@ -21,21 +21,21 @@
     // Symptom: for ten seconds a quarter of the lookups was refused while most targets were idle.
     // Sequence: 200 neighbouring keys became busy; their range was halved, one half moved, the
     // next half was measured, and so on. Cause: one cut a report.
-    const auto cuts = load_cuts(neighbourhood(1000, 200, 2), 20, 31);
-    REQUIRE(cuts.size() == 19);
-    CHECK(cuts.front() == 1010);
-    CHECK(cuts.back() == 1190);
+    const auto split_points = load_split_points(neighbourhood(1000, 200, 2), 20, 31);
+    REQUIRE(split_points.size() == 19);
+    CHECK(split_points.front() == 1010);
+    CHECK(split_points.back() == 1190);
 }
 
 TEST_CASE("a key that is too busy by itself gets a part of its own") {
     std::vector<key_load> loads = neighbourhood(10, 5, 2);
     loads[2].requests = 300;
-    CHECK(load_cuts(loads, 20, 31) == std::vector<std::uint32_t>{12, 13});
-    CHECK(load_cuts({{7, 300}}, 20, 31).empty());
+    CHECK(load_split_points(loads, 20, 31) == std::vector<std::uint32_t>{12, 13});
+    CHECK(load_split_points({{7, 300}}, 20, 31).empty());
 }
 
 TEST_CASE("light ranges are not cut, and there are never more cuts than allowed") {
-    CHECK(load_cuts({}, 20, 31).empty());
-    CHECK(load_cuts(neighbourhood(1, 10, 2), 20, 31).empty());
-    CHECK(load_cuts(neighbourhood(1, 500, 20), 20, 31).size() == 31);
+    CHECK(load_split_points({}, 20, 31).empty());
+    CHECK(load_split_points(neighbourhood(1, 10, 2), 20, 31).empty());
+    CHECK(load_split_points(neighbourhood(1, 500, 20), 20, 31).size() == 31);
 }
--- a/tests/coordination/load_tracker_test.cpp
+++ b/tests/coordination/load_tracker_test.cpp
@@ -24,13 +24,13 @@
     placement_view view;
     book.describe("s", view);
     CHECK(view.loads.at(10) == 40); // half of the first report
-    CHECK(view.cuts.at(10) == std::vector<std::uint64_t>{20, 30, 40});
+    CHECK(view.split_points.at(10) == std::vector<std::uint64_t>{20, 30, 40});
     book.share("s", 10, {20, 30, 40});
     placement_view after;
     book.describe("s", after);
     for (const std::uint64_t first : {10U, 20U, 30U, 40U}) {
         CHECK(after.loads.at(first) == 10);
-        CHECK(after.cuts.at(first).empty());
+        CHECK(after.split_points.at(first).empty());
     }
     book.forget_old(start + 11s);
     placement_view old;
