--- a/include/peppertack/coordination/control_core.hpp
+++ b/include/peppertack/coordination/control_core.hpp
@@ -2,7 +2,7 @@
 
 #include "peppertack/coordination/lease_book.hpp"
 #include "peppertack/coordination/load_tracker.hpp"
-#include "peppertack/coordination/map_updates.hpp"
+#include "peppertack/coordination/map_update_cache.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/coordination/node_report.hpp"
 #include "peppertack/coordination/placement.hpp"
@@ -188,7 +188,7 @@
     std::unordered_map<std::string, std::uint64_t> m_owner_changes;
     std::unordered_set<std::string> m_granted_once; ///< services whose first grant was applied
     std::vector<outgoing> m_outgoing;
-    map_updates m_updates;
+    map_update_cache m_updates;
 };
 
 /// Whether a message is addressed to the control plane of a process rather than to its node. Thread
--- a/include/peppertack/coordination/map_updates.hpp
+++ b/include/peppertack/coordination/map_update_cache.hpp
@@ -14,10 +14,10 @@
 /// Builds map updates for nodes: differences between versions of the control state. Updates are
 /// cached until the state's version changes, since most nodes request the same one. Not thread
 /// safe.
-class map_updates {
+class map_update_cache {
 public:
     /// Preconditions: `state` outlives the object; `most_items` is above 0.
-    map_updates(const control_state &state, std::size_t most_items)
+    map_update_cache(const control_state &state, std::size_t most_items)
         : m_state(state), m_most_items(most_items) {}
 
     /// Returns the changes since `version`, limited to about `most_items`, or the full map if the
--- a/src/coordination/map_updates.cpp
+++ b/src/coordination/map_update_cache.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/map_updates.hpp"
+#include "peppertack/coordination/map_update_cache.hpp"
 
 #include <algorithm>
 #include <set>
@@ -24,7 +24,7 @@
             .standby_epoch = record.standby_epoch};
 }
 
-map_update map_updates::whole() const {
+map_update map_update_cache::whole() const {
     map_update update{.from = 0, .to = m_state.version(), .as_of = m_state.version()};
     for (const auto &[number, record] : m_state.targets()) {
         if (record.phase != target_phase::gone) {
@@ -37,7 +37,7 @@
     return update;
 }
 
-const map_update &map_updates::since(std::uint64_t version) {
+const map_update &map_update_cache::since(std::uint64_t version) {
     if (m_kept_version != m_state.version() || m_kept.size() >= kept_updates) {
         m_kept.clear();
         m_kept_version = m_state.version();
@@ -47,7 +47,7 @@
                                  : m_kept.emplace(version, make_since(version)).first->second;
 }
 
-map_update map_updates::make_since(std::uint64_t version) const {
+map_update map_update_cache::make_since(std::uint64_t version) const {
     auto touched = version == 0 ? std::nullopt : m_state.touched_since(version);
     if (!touched || version > m_state.version()) {
         return whole();
@@ -90,7 +90,7 @@
     return update;
 }
 
-void map_updates::add_own_ranges(map_update &update, const target_record &record) const {
+void map_update_cache::add_own_ranges(map_update &update, const target_record &record) const {
     const auto found = m_state.ranges().find(record.service);
     if (found == m_state.ranges().end()) {
         return;
