--- a/include/peppertack/coordination/control_core.hpp
+++ b/include/peppertack/coordination/control_core.hpp
@@ -83,7 +83,7 @@
     /// Starts a quorum round that confirms this voter as leader (a read barrier). `take_answers`
     /// delivers the result under the returned ticket, without an error once a quorum has confirmed.
     /// The state read in that same step contains every acknowledged command.
-    std::uint64_t prove_leadership(moment at);
+    std::uint64_t confirm_leadership(moment at);
     /// Whether there are as many voters as the configured fault tolerance requires.
     bool enough_voters() const;
     /// Announces that this process is about to end, so that a spare voter can replace it at once.
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -132,7 +132,7 @@
     return m_replica->members().voters.size() >= m_options.roster.wanted;
 }
 
-std::uint64_t control_core::prove_leadership(moment at) {
+std::uint64_t control_core::confirm_leadership(moment at) {
     const std::uint64_t ticket = m_next_ticket++;
     if (!m_established) {
         m_answers.push_back({.ticket = ticket, .error = error_kind::not_leader});
--- a/src/transport/control_host.cpp
+++ b/src/transport/control_host.cpp
@@ -114,7 +114,7 @@
                 }
                 // Also a refusal must come from the leader: one that was replaced without noticing
                 // would refuse what builds on changes it has not seen.
-                const std::uint64_t ticket = core.prove_leadership(read_clocks());
+                const std::uint64_t ticket = core.confirm_leadership(read_clocks());
                 m_waiting[ticket] = [this, change = std::move(change),
                                      done = std::move(done)](const submit_answer &proof) {
                     if (proof.error != error_kind::none) {
@@ -128,7 +128,7 @@
 
     void read_routes(std::function<void(routes_answer)> done) {
         post([this, done = std::move(done)](control_core &core) mutable {
-            const std::uint64_t ticket = core.prove_leadership(read_clocks());
+            const std::uint64_t ticket = core.confirm_leadership(read_clocks());
             m_waiting[ticket] = [this, done = std::move(done)](const submit_answer &proof) {
                 routes_answer answer{.error = proof.error, .leader = part().replication().leader()};
                 if (proof.error == error_kind::none) {
