--- a/bench/control_bench.cpp
+++ b/bench/control_bench.cpp
@@ -27,7 +27,7 @@
         options.replication.self = "10.0.0.1:7000";
         options.replication.initial.voters = {"10.0.0.1:7000"};
         options.entries_per_snapshot = 1'000'000'000;
-        options.gathering_time = {};
+        options.initial_placement_delay = {};
         core = control_core::make(
             options, *m_log, [](const audit_record &) { return true; }, at, reason);
         pass(std::chrono::seconds(2));
--- a/include/peppertack/coordination/control_core.hpp
+++ b/include/peppertack/coordination/control_core.hpp
@@ -32,21 +32,22 @@
     duration placement_interval = std::chrono::milliseconds(50);
     duration balance_interval = std::chrono::seconds(1);
     /// Delay before the first placement of a service, so that its first targets can register.
-    duration gathering_time = std::chrono::milliseconds(500);
+    duration initial_placement_delay = std::chrono::milliseconds(500);
     duration key_retention = std::chrono::minutes(10);
     /// After this time a quarantined request may run once more, at the risk of one target crash, to
     /// find out whether it still crashes targets.
     duration quarantine = std::chrono::hours(24);
     /// A longer gap between two ticks counts as a stall of this voter (disk or process).
-    duration stall = std::chrono::milliseconds(150);
+    duration stall_threshold = std::chrono::milliseconds(150);
     /// After a stall no lease expires for this long, so that queued renewals are processed first.
-    duration patience_after_stall = std::chrono::milliseconds(300);
+    duration expiry_delay_after_stall = std::chrono::milliseconds(300);
     std::uint64_t entries_per_snapshot = 10'000;
-    std::size_t push_to_all_below = 200; ///< with more nodes, updates go only to affected ones
-    std::size_t push_items =
+    std::size_t min_nodes_for_selective_push =
+        200; ///< with more nodes, updates go only to affected ones
+    std::size_t max_push_items =
         256; ///< larger changes are delivered with renewal replies, spread over time
-    std::size_t items_per_update = 512; ///< the rest follows with the next renewals
-    std::size_t losses_per_decision =
+    std::size_t max_items_per_update = 512; ///< the rest follows with the next renewals
+    std::size_t max_expirations_per_command =
         16; ///< keeps the items that one command changes within an update
     voter_roster::options roster;
 };
--- a/include/peppertack/coordination/planted_defects.hpp
+++ b/include/peppertack/coordination/planted_defects.hpp
@@ -22,7 +22,7 @@
     bool forget_late_grant = false;
     bool hold_from_decision = false;
     bool release_timeout_frees = false;
-    bool tell_crash_once = false;
+    bool report_crash_once = false;
     bool ignore_answered = false;
     bool ignore_suspects = false;
     bool vote_before_sync = false;
@@ -45,7 +45,7 @@
     static constexpr bool forget_late_grant = false;
     static constexpr bool hold_from_decision = false;
     static constexpr bool release_timeout_frees = false;
-    static constexpr bool tell_crash_once = false;
+    static constexpr bool report_crash_once = false;
     static constexpr bool ignore_answered = false;
     static constexpr bool ignore_suspects = false;
     static constexpr bool vote_before_sync = false;
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -38,7 +38,7 @@
     : m_options(std::move(options)),
       m_replica(std::make_unique<replica>(m_options.replication, log, now)),
       m_audit(std::move(audit)), m_leases(m_options.lease), m_placement(m_options.placement),
-      m_roster(m_options.roster, now), m_updates(m_state, m_options.items_per_update) {}
+      m_roster(m_options.roster, now), m_updates(m_state, m_options.max_items_per_update) {}
 
 std::unique_ptr<control_core> control_core::make(control_options options, durable_log &log,
                                                  audit_sink audit, moment at, std::string &reason) {
@@ -586,10 +586,10 @@
 /// in close succession do not extend the delay, or the leases of a lost target would not expire
 /// while they go on.
 void control_core::note_stall(instant now) {
-    const bool stalled = m_ticked_at != instant{} && now > m_ticked_at + m_options.stall;
+    const bool stalled = m_ticked_at != instant{} && now > m_ticked_at + m_options.stall_threshold;
     m_ticked_at = now;
     if (stalled && now >= m_next_patience) {
-        m_patient_until = now + m_options.patience_after_stall;
+        m_patient_until = now + m_options.expiry_delay_after_stall;
         m_next_patience = m_patient_until + m_options.lease.length;
     }
 }
@@ -603,9 +603,9 @@
         const target_record *record = m_state.find_target(number);
         return record == nullptr || record->phase == target_phase::gone;
     });
-    for (std::size_t i = 0; i < ended.size(); i += m_options.losses_per_decision) {
+    for (std::size_t i = 0; i < ended.size(); i += m_options.max_expirations_per_command) {
         const auto from = ended.begin() + static_cast<std::ptrdiff_t>(i);
-        const std::size_t count = std::min(m_options.losses_per_decision, ended.size() - i);
+        const std::size_t count = std::min(m_options.max_expirations_per_command, ended.size() - i);
         propose(at, lease_actor, "lease ended without a renewal",
                 expire_targets{{from, from + static_cast<std::ptrdiff_t>(count)}});
     }
@@ -630,8 +630,9 @@
     }
     const auto touched = m_state.touched_since(m_last_pushed);
     m_last_pushed = m_state.version();
-    const bool many_nodes = m_nodes.size() >= m_options.push_to_all_below;
-    if (!touched || touched->empty() || (many_nodes && touched->size() > m_options.push_items)) {
+    const bool many_nodes = m_nodes.size() >= m_options.min_nodes_for_selective_push;
+    if (!touched || touched->empty() ||
+        (many_nodes && touched->size() > m_options.max_push_items)) {
         return;
     }
     std::set<target_number> concerned;
@@ -774,7 +775,7 @@
     // range.
     const bool never_owned = std::all_of(ranges.begin(), ranges.end(),
                                          [](const auto &range) { return range.token == 0; });
-    if (never_owned && at.now < m_last_joined + m_options.gathering_time) {
+    if (never_owned && at.now < m_last_joined + m_options.initial_placement_delay) {
         return;
     }
     const placement_decision decision = m_placement.decide(view_of(service));
--- a/src/coordination/crash_watch.cpp
+++ b/src/coordination/crash_watch.cpp
@@ -106,7 +106,7 @@
 
 void crash_watch::fill_report(renew_request &request, const suspect_list &known, instant now) {
     request.crashes = due(now);
-    if (g_defects.tell_crash_once) {
+    if (g_defects.report_crash_once) {
         std::erase_if(m_ended,
                       [&](const ended_life &ended) { return ended.at + report_delay <= now; });
     }
--- a/tests/coordination/planted_defects_test.cpp
+++ b/tests/coordination/planted_defects_test.cpp
@@ -55,7 +55,7 @@
 }};
 
 constexpr std::array<defect, 1> report_defects{{
-    {"end of a target told to one leader only", &planted_defects::tell_crash_once},
+    {"end of a target told to one leader only", &planted_defects::report_crash_once},
 }};
 
 constexpr std::uint64_t most_sequences = 3000;
--- a/tests/coordination/simulated_cluster.cpp
+++ b/tests/coordination/simulated_cluster.cpp
@@ -90,7 +90,7 @@
         options.replication.initial.voters = {voters.begin(), voters.end()};
         options.replication.seed = m_random();
         options.entries_per_snapshot = 60;
-        options.items_per_update = 24; // so that updates come in parts here too
+        options.max_items_per_update = 24; // so that updates come in parts here too
         item.voting = durable_voter::make(
             settings, *item.disk,
             [this](const audit_record &record) {
