--- a/bench/placement_bench.cpp
+++ b/bench/placement_bench.cpp
@@ -143,7 +143,7 @@
         constexpr int decisions_a_minute = 60;
         for (int i = 0; i < decisions_a_minute; ++i) {
             // Hot keys are cut out for every strategy, so that only the placing is compared.
-            greedy_placement splitter({.moves_at_a_time = 0});
+            greedy_placement splitter({.max_concurrent_moves = 0});
             for (const std::uint64_t cut : splitter.decide(view()).splits) {
                 split(cut);
             }
--- a/bench/strategies.cpp
+++ b/bench/strategies.cpp
@@ -102,7 +102,7 @@
     const char *name() const override { return "(d) reroute or re-plan by cost"; }
     placement_decision decide(const placement_view &view) override {
         // Rerouting only is what the bounded moves do with a budget of none.
-        greedy_placement reroute({.moves_at_a_time = 0});
+        greedy_placement reroute({.max_concurrent_moves = 0});
         placement_decision little = reroute.decide(view);
         placement_decision much = difference(view, placed_anew(view));
         if (cost(view, little) <= cost(view, much)) {
--- a/include/peppertack/coordination/placement.hpp
+++ b/include/peppertack/coordination/placement.hpp
@@ -38,19 +38,20 @@
 };
 
 struct placement_options {
-    std::size_t moves_at_a_time = 4; ///< concurrent moves for balance
-    /// Raises the limit of `moves_at_a_time` to the number of targets divided by this, where that
-    /// is more. A limit of 0 stays 0.
-    std::size_t targets_per_move = 3;
-    std::size_t stops_at_a_time = 32; ///< concurrent moves for planned stops
-    double tolerance = 0.10;      ///< relative load above the weight share that triggers no move
-    double gain_per_price = 0.01; ///< least gain at price 1, relative to the source's weight share
+    std::size_t max_concurrent_moves = 4; ///< concurrent moves for balance
+    /// Raises the limit of `max_concurrent_moves` to the number of targets divided by this, where
+    /// that is more. A limit of 0 stays 0.
+    std::size_t targets_per_concurrent_move = 3;
+    std::size_t max_concurrent_drain_moves = 32; ///< concurrent moves for planned stops
+    double tolerance = 0.10; ///< relative load above the weight share that triggers no move
+    double min_gain_per_price =
+        0.01; ///< least gain at price 1, relative to the source's weight share
     /// A target below this fraction of its capacity gives up no ranges, however uneven the load is:
     /// each move leaves keys unserved for a heartbeat or two and shortens no queue.
-    double busy_part = 0.65;
+    double busy_threshold = 0.65;
     /// A target below this fraction of its weight share gets ranges even from targets that are not
     /// busy; otherwise a new target would stay idle.
-    double starved_ratio = 0.4;
+    double underload_threshold = 0.4;
     double prior_rate = 200; ///< requests per second at which measured load counts for half
     std::size_t ranges_per_target = 8; ///< below this average the widest ranges are split
 };
@@ -85,7 +86,7 @@
     placement_decision decide(const placement_view &view) override;
 
 private:
-    std::size_t moves_at_a_time(const placement_view &view) const;
+    std::size_t max_concurrent_moves(const placement_view &view) const;
 
     placement_options m_options;
 };
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -251,7 +251,7 @@
 /// move.
 void balance(const placement_view &view, const placement_options &options, workbench &bench,
              std::size_t budget, placement_decision &decision) {
-    const double threshold = options.gain_per_price * view.churn_price;
+    const double threshold = options.min_gain_per_price * view.churn_price;
     const double limit = 1 + options.tolerance;
     std::vector<char> moved(view.ranges->size(), 0);
     for (const std::uint64_t cut : decision.splits) {
@@ -273,8 +273,8 @@
             range == workbench::none
                 ? workbench::none
                 : destination_for(view, bench, bench.share(range), options.tolerance);
-        const bool needless = to != workbench::none && !bench.busy(from, options.busy_part) &&
-                              bench.ratio(to) > options.starved_ratio;
+        const bool needless = to != workbench::none && !bench.busy(from, options.busy_threshold) &&
+                              bench.ratio(to) > options.underload_threshold;
         if (to == workbench::none || needless ||
             bench.share(range) / bench.goal(from) < threshold) {
             passed[from] = 1;
@@ -339,7 +339,7 @@
             continue;
         }
         if (bench.share(i) > bench.goal(owner) / 4 && bench.ratio(owner) > 1 &&
-            bench.busy(owner, options.busy_part)) {
+            bench.busy(owner, options.busy_threshold)) {
             const std::vector<std::uint64_t> split_points = cuts_of(view, i);
             decision.splits.insert(decision.splits.end(), split_points.begin(), split_points.end());
         }
@@ -392,12 +392,12 @@
 
 /// The limit grows with the number of targets: with few targets, each concurrent move affects a
 /// large part of the keys.
-std::size_t greedy_placement::moves_at_a_time(const placement_view &view) const {
-    if (m_options.moves_at_a_time == 0) {
+std::size_t greedy_placement::max_concurrent_moves(const placement_view &view) const {
+    if (m_options.max_concurrent_moves == 0) {
         return 0;
     }
-    const std::size_t by_size = view.targets.size() / m_options.targets_per_move;
-    return std::max(m_options.moves_at_a_time, by_size);
+    const std::size_t by_size = view.targets.size() / m_options.targets_per_concurrent_move;
+    return std::max(m_options.max_concurrent_moves, by_size);
 }
 
 placement_decision greedy_placement::decide(const placement_view &view) {
@@ -410,8 +410,8 @@
     std::vector<std::size_t> leaving = ranges_that_leave(view, bench);
     const std::size_t under_way = moves_under_way(view);
     if (!leaving.empty()) {
-        const std::size_t room =
-            m_options.stops_at_a_time - std::min(m_options.stops_at_a_time, under_way);
+        const std::size_t room = m_options.max_concurrent_drain_moves -
+                                 std::min(m_options.max_concurrent_drain_moves, under_way);
         leaving.resize(std::min(leaving.size(), room));
         hand_out(view, bench, std::move(leaving), decision.moves);
         decision.move_cause = "planned stop";
@@ -430,7 +430,7 @@
         }
     }
     // A merge changes the ranges that a move in the same decision could refer to.
-    const std::size_t most = decision.merges.empty() ? moves_at_a_time(view) : 0;
+    const std::size_t most = decision.merges.empty() ? max_concurrent_moves(view) : 0;
     const std::size_t room = most - std::min(most, under_way);
     balance(view, m_options, bench, room, decision);
     return decision;
--- a/src/transport/daemon_settings.cpp
+++ b/src/transport/daemon_settings.cpp
@@ -268,7 +268,7 @@
         options.roster.wanted = 2 * static_cast<std::size_t>(settings.losses) + 1;
         options.roster.contacts = settings.voters;
         options.balance_interval = std::chrono::milliseconds(500);
-        options.placement.moves_at_a_time = 6;
+        options.placement.max_concurrent_moves = 6;
         options.entries_per_snapshot = entries_per_snapshot;
     }
     options.replication.election_timeout = settings.election_timeout;
--- a/tests/coordination/parts_test.cpp
+++ b/tests/coordination/parts_test.cpp
@@ -70,7 +70,7 @@
         ranges[i].owner = 1;
     }
     placement_view view = view_of(ranges, 4);
-    greedy_placement placement({.moves_at_a_time = 3});
+    greedy_placement placement({.max_concurrent_moves = 3});
     CHECK(placement.decide(view).moves.size() == 3);
     view.churn_price = 1000;
     CHECK(placement.decide(view).moves.empty());
