--- a/include/peppertack/coordination/placement.hpp
+++ b/include/peppertack/coordination/placement.hpp
@@ -14,10 +14,10 @@
 struct placement_target {
     target_number number = no_target;
     std::string failure_domain;
-    double weight = 0;   ///< its share of its table row's weight
-    bool accepts = true; ///< is serving and may get ranges
-    bool leaves = false; ///< is draining: its ranges must move away
-    double capacity = 0; ///< measured requests per second it can serve; 0 if unknown
+    double weight = 0;     ///< its share of its table row's weight
+    bool accepts = true;   ///< is serving and may get ranges
+    bool draining = false; ///< is draining: its ranges must move away
+    double capacity = 0;   ///< measured requests per second it can serve; 0 if unknown
 };
 
 /// Placement input for one service. `loads` holds requests per second by the first hash of a range;
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -730,7 +730,7 @@
         placement_target target{.number = number,
                                 .failure_domain = record.failure_domain,
                                 .accepts = serving,
-                                .leaves = record.phase == target_phase::draining};
+                                .draining = record.phase == target_phase::draining};
         if (row != nullptr && serving) {
             target.weight = row->weight / static_cast<double>(in_domain[record.failure_domain]);
             view.churn_price = row->churn_price;
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -157,7 +157,7 @@
     for (std::size_t i = 0; i < view.ranges->size(); ++i) {
         const range_record &range = (*view.ranges)[i];
         const std::size_t owner = bench.index_of(range.owner);
-        if (range.next == no_target && owner != workbench::none && view.targets[owner].leaves) {
+        if (range.next == no_target && owner != workbench::none && view.targets[owner].draining) {
             result.push_back(i);
         }
     }
--- a/tests/coordination/parts_test.cpp
+++ b/tests/coordination/parts_test.cpp
@@ -80,7 +80,7 @@
     const std::vector<range_record> ranges = even_ranges(64, 4);
     placement_view view = view_of(ranges, 4);
     view.targets[0].accepts = false;
-    view.targets[0].leaves = true;
+    view.targets[0].draining = true;
     greedy_placement placement;
     const placement_decision decision = placement.decide(view);
     CHECK(decision.moves.size() == 16);
