--- a/include/peppertack/coordination/control_core.hpp
+++ b/include/peppertack/coordination/control_core.hpp
@@ -111,45 +111,46 @@
 private:
     control_core(control_options options, durable_log &log, audit_sink audit, instant now);
 
-    struct waiting_renewal {
+    struct pending_renewal {
         std::uint64_t round = 0;
         node_address from;
         renew_request request;
     };
-    void settle(moment at);
-    void follow_roster(moment at);
-    void offer_to_join(moment at);
+    void run_pending_work(moment at);
+    void apply_roster_advice(moment at);
+    void request_join_if_due(moment at);
     void send_to_contacts(const join_request &request);
-    void take_join(const join_request &request, moment at);
-    void answer_proofs();
-    void pass_renewal_on(const node_address &from, const renew_request &request);
+    void handle_join(const join_request &request, moment at);
+    void complete_confirmations();
+    void relay_renewal(const node_address &from, const renew_request &request);
     void apply_committed();
     void apply_entry(const log_entry &entry);
     void update_leadership(moment at);
     void answer_renewals(moment at);
-    void answer_renewal(const waiting_renewal &waiting, moment at);
-    void take_reports(const renew_request &request, const target_record &record, moment at);
-    void take_crashes(const renew_request &request, const node_address &from, renew_reply &reply,
-                      moment at);
-    void end_quarantines(moment at);
-    void take_loads(const renew_request &request, const target_record &record, moment at);
+    void answer_renewal(const pending_renewal &pending, moment at);
+    void handle_reports(const renew_request &request, const target_record &record, moment at);
+    void handle_crash_reports(const renew_request &request, const node_address &from,
+                              renew_reply &reply, moment at);
+    void release_expired_quarantines(moment at);
+    void record_loads(const renew_request &request, const target_record &record, moment at);
     void register_node(const renew_request &request, const node_address &from, moment at);
     const target_record *registration_of(const renew_request &request,
                                          const node_address &from) const;
     void push_updates();
-    void note_stall(instant now);
-    void end_leases(moment at);
-    void place(moment at);
+    void detect_stall(instant now);
+    void expire_leases(moment at);
+    void run_placement(moment at);
     std::set<std::string> services_to_place(bool balance_due) const;
     void place_service(const std::string &service, moment at, bool balance_due);
-    void choose_standbys(const std::string &service, moment at);
-    void finish_stops(const std::string &service, moment at);
-    void close_memory_windows(moment at);
+    void assign_standbys(const std::string &service, moment at);
+    void retire_drained_targets(const std::string &service, moment at);
+    void end_expired_key_retention(moment at);
     placement_view view_of(const std::string &service) const;
     void split(const std::string &service, const std::vector<std::uint64_t> &split_points,
                moment at);
-    target_number standby_for(const target_record &record,
-                              const std::map<target_number, std::size_t> &duties) const;
+    target_number
+    best_standby_for(const target_record &record,
+                     const std::map<target_number, std::size_t> &standby_counts) const;
     void propose(moment at, std::string actor, std::string cause, command_body body);
     void compact_if_due();
     void count_owner_changes(const command &value);
@@ -161,33 +162,33 @@
     lease_book m_leases;
     greedy_placement m_placement;
     voter_roster m_roster;
-    std::deque<std::pair<std::uint64_t, std::uint64_t>> m_proofs; ///< round, ticket
+    std::deque<std::pair<std::uint64_t, std::uint64_t>> m_confirmations; ///< round, ticket
     routing_history m_routes;
     bool m_established = false;
-    std::uint64_t m_last_proposed = 0;
-    std::uint64_t m_last_compacted = 0;
-    std::uint64_t m_last_pushed = 0;
-    std::uint64_t m_last_placed = 0;  ///< state version that the last placement used
-    std::uint64_t m_leases_known = 0; ///< all targets of this state version have a lease entry
+    std::uint64_t m_last_proposed_index = 0;
+    std::uint64_t m_compacted_version = 0;
+    std::uint64_t m_pushed_version = 0;
+    std::uint64_t m_placed_version = 0; ///< state version that the last placement used
+    std::uint64_t m_leases_version = 0; ///< all targets of this state version have a lease entry
     std::uint64_t m_next_ticket = 1;
     instant m_now{};
-    instant m_ticked_at{};     ///< zero before the first tick
-    instant m_patient_until{}; ///< no lease expires before this time
-    instant m_next_patience{}; ///< stalls before this time extend no lease
-    instant m_last_joined{};
-    instant m_place_at{};
-    instant m_balance_at{};
+    instant m_last_tick{};              ///< zero before the first tick
+    instant m_expiry_suspended_until{}; ///< no lease expires before this time
+    instant m_next_expiry_delay{};      ///< stalls before this time extend no lease
+    instant m_last_registration{};
+    instant m_next_placement{};
+    instant m_next_balance{};
     std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>>
         m_tickets; ///< index: term, ticket
     std::vector<submit_answer> m_answers;
-    std::deque<waiting_renewal> m_renewals; ///< in order of their rounds
+    std::deque<pending_renewal> m_pending_renewals; ///< in order of their rounds
     std::map<node_address, node_report> m_nodes;
-    std::unordered_set<std::string> m_registering;
+    std::unordered_set<std::string> m_pending_registrations;
     std::unordered_set<std::uint64_t>
-        m_reporting; ///< ended incarnations already proposed as crashes
-    load_tracker m_loads;
+        m_pending_crash_reports; ///< ended incarnations already proposed as crashes
+    load_tracker m_load_tracker;
     std::unordered_map<std::string, std::uint64_t> m_owner_changes;
-    std::unordered_set<std::string> m_granted_once; ///< services whose first grant was applied
+    std::unordered_set<std::string> m_services_granted; ///< services whose first grant was applied
     std::vector<outgoing> m_outgoing;
     map_update_cache m_updates;
 };
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t renewals_per_voter_list = 16;
 constexpr const char *lease_actor = "leases";
 
-std::string registration_key(const target_record &record) {
+std::string registration_id(const target_record &record) {
     return record.name + '\n' + std::to_string(record.incarnation);
 }
 
@@ -50,41 +50,41 @@
             return nullptr;
         }
         core->m_state = std::move(*state);
-        core->m_last_compacted = core->m_state.version();
+        core->m_compacted_version = core->m_state.version();
     }
     return core;
 }
 
 void control_core::tick(moment at) {
-    note_stall(at.now);
+    detect_stall(at.now);
     m_replica->tick(at.now);
     if (m_established) {
-        end_leases(at); // visits all targets, so it does not run on every message
-        follow_roster(at);
+        expire_leases(at); // visits all targets, so it does not run on every message
+        apply_roster_advice(at);
     } else {
-        offer_to_join(at);
+        request_join_if_due(at);
     }
-    settle(at);
+    run_pending_work(at);
 }
 
 void control_core::note_written(moment at) {
     m_replica->note_written(at.now);
-    settle(at);
+    run_pending_work(at);
 }
 
 /// Applies the roster's advice, one membership change at a time.
-void control_core::follow_roster(moment at) {
+void control_core::apply_roster_advice(moment at) {
     m_roster.note_leader(at.now);
-    const auto silent = [&](const node_address &voter) {
+    const auto contact_age = [&](const node_address &voter) {
         return m_replica->silence_of(voter, at.now);
     };
     const auto &learner = m_replica->members().learner;
     if (learner && m_options.roster.wanted != 0 &&
-        silent(*learner) > m_options.roster.voter_patience) {
+        contact_age(*learner) > m_options.roster.voter_patience) {
         m_replica->cancel_change();
     }
     const auto advice =
-        m_roster.advise(m_replica->members(), m_options.replication.self, silent, at.now);
+        m_roster.advise(m_replica->members(), m_options.replication.self, contact_age, at.now);
     if (advice && m_replica->replace_voter(advice->learner, advice->replaces)) {
         m_roster.forget(advice->learner);
     }
@@ -93,7 +93,7 @@
 /// A process without a known leader may be a new spare or a voter that was replaced while it was
 /// unreachable. It can't distinguish these, so it sends a join request, which the leader ignores if
 /// the process is a member already.
-void control_core::offer_to_join(moment at) {
+void control_core::request_join_if_due(moment at) {
     if (!m_replica->leader().empty() && m_replica->is_voter()) {
         m_roster.note_leader(at.now);
         return;
@@ -119,7 +119,7 @@
     send_to_contacts(request);
 }
 
-void control_core::take_join(const join_request &request, moment at) {
+void control_core::handle_join(const join_request &request, moment at) {
     m_roster.note(request, at.now);
     const node_address &leader = m_replica->leader();
     if (!m_established && !leader.empty() && leader != m_options.replication.self &&
@@ -138,50 +138,52 @@
         m_answers.push_back({.ticket = ticket, .error = error_kind::not_leader});
         return ticket;
     }
-    m_proofs.push_back({m_replica->request_round(), ticket});
-    settle(at);
+    m_confirmations.push_back({m_replica->request_round(), ticket});
+    run_pending_work(at);
     return ticket;
 }
 
-void control_core::answer_proofs() {
-    while (!m_proofs.empty() && m_proofs.front().first <= m_replica->confirmed_round()) {
-        m_answers.push_back({.ticket = m_proofs.front().second, .version = m_state.version()});
-        m_proofs.pop_front();
+void control_core::complete_confirmations() {
+    while (!m_confirmations.empty() &&
+           m_confirmations.front().first <= m_replica->confirmed_round()) {
+        m_answers.push_back(
+            {.ticket = m_confirmations.front().second, .version = m_state.version()});
+        m_confirmations.pop_front();
     }
 }
 
 void control_core::receive(const node_address &from, const message &body, moment at) {
     if (const auto *renewal = std::get_if<renew_request>(&body)) {
         if (!m_established) {
-            pass_renewal_on(from, *renewal);
+            relay_renewal(from, *renewal);
             return;
         }
         // Answered only once a quorum has confirmed this leader after the renewal arrived: a
         // deposed leader must not extend a lease whose expiry the new leader waits for.
         const std::uint64_t round = g_defects.unconfirmed_leader ? 0 : m_replica->request_round();
-        m_renewals.push_back({round, from, *renewal});
+        m_pending_renewals.push_back({round, from, *renewal});
     } else if (const auto *reply = std::get_if<renew_reply>(&body)) {
         if (!reply->origin.empty()) {
-            renew_reply passed = *reply;
-            m_outgoing.push_back({std::exchange(passed.origin, {}), std::move(passed)});
+            renew_reply relayed = *reply;
+            m_outgoing.push_back({std::exchange(relayed.origin, {}), std::move(relayed)});
         }
     } else if (const auto *join = std::get_if<join_request>(&body)) {
-        take_join(*join, at);
+        handle_join(*join, at);
     } else {
         m_replica->receive(from, body, at.now);
     }
-    settle(at);
+    run_pending_work(at);
 }
 
 /// Relays renewals of nodes that can't reach the leader directly: they would lose their leases, and
 /// their targets' keys would be reassigned needlessly. A request is relayed at most once.
-void control_core::pass_renewal_on(const node_address &from, const renew_request &request) {
+void control_core::relay_renewal(const node_address &from, const renew_request &request) {
     const node_address &leader = m_replica->leader();
     const bool known = !leader.empty() && leader != m_options.replication.self;
     if (request.wants_relay && known && request.origin.empty()) {
-        renew_request passed = request;
-        passed.origin = from;
-        m_outgoing.push_back({leader, std::move(passed)});
+        renew_request relayed = request;
+        relayed.origin = from;
+        m_outgoing.push_back({leader, std::move(relayed)});
     } else if (request.origin.empty()) {
         m_outgoing.push_back(
             {from, renew_reply{.sequence = request.sequence, .leader_hint = leader}});
@@ -197,16 +199,16 @@
         m_answers.push_back({.ticket = ticket, .error = error_kind::not_leader});
         return ticket;
     }
-    m_last_proposed = *index;
+    m_last_proposed_index = *index;
     m_tickets[*index] = {m_replica->term(), ticket};
-    settle(at);
+    run_pending_work(at);
     return ticket;
 }
 
 bool control_core::replace_voter(const node_address &learner,
                                  const std::optional<node_address> &replaces, moment at) {
     const bool taken = m_replica->replace_voter(learner, replaces);
-    settle(at);
+    run_pending_work(at);
     return taken;
 }
 
@@ -223,15 +225,15 @@
 
 /// Processes all consequences of new input: commits, renewals, placement, updates. One log sync
 /// covers all entries proposed in this step.
-void control_core::settle(moment at) {
+void control_core::run_pending_work(moment at) {
     m_now = at.now;
     m_replica->flush(at.now);
     apply_committed();
     update_leadership(at);
     if (m_established) {
         answer_renewals(at);
-        answer_proofs();
-        place(at);
+        complete_confirmations();
+        run_placement(at);
         m_replica->flush(at.now);
         apply_committed();
         push_updates();
@@ -246,7 +248,7 @@
         std::string reason;
         if (std::optional<control_state> state = control_state::decode(installed->state, reason)) {
             m_state = std::move(*state);
-            m_last_compacted = m_state.version();
+            m_compacted_version = m_state.version();
         }
     }
     for (const log_entry &entry : m_replica->take_committed()) {
@@ -280,21 +282,21 @@
     }
     if (value) {
         if (const auto *body = std::get_if<register_target>(&value->body)) {
-            m_registering.erase(registration_key(body->record));
-            m_last_joined = m_now;
-            m_balance_at = {}; // the new target owns no ranges yet
+            m_pending_registrations.erase(registration_id(body->record));
+            m_last_registration = m_now;
+            m_next_balance = {}; // the new target owns no ranges yet
         }
         if (const auto *body = std::get_if<expire_targets>(&value->body)) {
             for (const target_number number : body->numbers) {
                 m_leases.forget(number);
-                m_loads.forget(number);
+                m_load_tracker.forget(number);
             }
         }
         if (const auto *body = std::get_if<retire_target>(&value->body)) {
             m_leases.forget(body->number);
         }
         if (const auto *body = std::get_if<report_crash>(&value->body)) {
-            m_reporting.erase(body->life);
+            m_pending_crash_reports.erase(body->life);
         }
     }
     const auto ticket = m_tickets.find(entry.index);
@@ -318,7 +320,7 @@
         ++m_owner_changes[body->service];
     }
     if (const auto *body = std::get_if<grant_ranges>(&value.body)) {
-        if (!m_granted_once.insert(body->service).second) {
+        if (!m_services_granted.insert(body->service).second) {
             m_owner_changes[body->service] += body->choices.size();
         }
     }
@@ -340,29 +342,29 @@
     }
     m_established = leads;
     m_leases.clear();
-    m_renewals.clear();
-    for (const auto &[round, ticket] : m_proofs) {
+    m_pending_renewals.clear();
+    for (const auto &[round, ticket] : m_confirmations) {
         m_answers.push_back({.ticket = ticket, .error = error_kind::not_leader});
     }
-    m_proofs.clear();
-    m_registering.clear();
-    m_reporting.clear();
+    m_confirmations.clear();
+    m_pending_registrations.clear();
+    m_pending_crash_reports.clear();
     m_nodes.clear();
-    m_loads.clear();
-    m_last_pushed = m_state.version();
-    m_last_proposed = m_state.version();
-    m_last_placed = 0;
-    m_leases_known = 0;
+    m_load_tracker.clear();
+    m_pushed_version = m_state.version();
+    m_last_proposed_index = m_state.version();
+    m_placed_version = 0;
+    m_leases_version = 0;
     if (!leads) {
-        for (const auto &[index, waiting] : m_tickets) {
+        for (const auto &[index, pending] : m_tickets) {
             m_answers.push_back(
-                {.ticket = waiting.second, .error = error_kind::not_leader, .certain = false});
+                {.ticket = pending.second, .error = error_kind::not_leader, .certain = false});
         }
         m_tickets.clear();
         return;
     }
-    m_place_at = at.now;
-    m_balance_at = at.now + m_options.balance_interval;
+    m_next_placement = at.now;
+    m_next_balance = at.now + m_options.balance_interval;
     // The previous leader may have renewed any lease just before it was deposed, so each lease
     // counts as renewed now. A range reassigned before that lease expires could have two owners.
     for (const auto &[number, record] : m_state.targets()) {
@@ -376,15 +378,15 @@
 void control_core::propose(moment at, std::string actor, std::string cause, command_body body) {
     const command value{at.wall_ms, std::move(actor), std::move(cause), std::move(body)};
     if (const auto index = m_replica->propose(entry_kind::command, encode(value))) {
-        m_last_proposed = *index;
+        m_last_proposed_index = *index;
     }
 }
 
 void control_core::compact_if_due() {
-    if (m_state.version() < m_last_compacted + m_options.entries_per_snapshot) {
+    if (m_state.version() < m_compacted_version + m_options.entries_per_snapshot) {
         return;
     }
-    m_last_compacted = m_state.version();
+    m_compacted_version = m_state.version();
     m_replica->compact(m_state.version(), m_state.encode());
 }
 
@@ -392,10 +394,10 @@
 
 void control_core::answer_renewals(moment at) {
     const std::uint64_t confirmed = m_replica->confirmed_round();
-    while (!m_renewals.empty() && m_renewals.front().round <= confirmed) {
-        const waiting_renewal waiting = std::move(m_renewals.front());
-        m_renewals.pop_front();
-        answer_renewal(waiting, at);
+    while (!m_pending_renewals.empty() && m_pending_renewals.front().round <= confirmed) {
+        const pending_renewal pending = std::move(m_pending_renewals.front());
+        m_pending_renewals.pop_front();
+        answer_renewal(pending, at);
     }
 }
 
@@ -411,9 +413,9 @@
     return resumed || record->incarnation == request.target.incarnation ? record : nullptr;
 }
 
-void control_core::answer_renewal(const waiting_renewal &waiting, moment at) {
-    const renew_request &request = waiting.request;
-    const node_address &from = request.origin.empty() ? waiting.from : request.origin;
+void control_core::answer_renewal(const pending_renewal &pending, moment at) {
+    const renew_request &request = pending.request;
+    const node_address &from = request.origin.empty() ? pending.from : request.origin;
     renew_reply reply{.sequence = request.sequence,
                       .is_leader = true,
                       .table_version = m_state.table_version(),
@@ -447,7 +449,7 @@
             if (reply.map.to < m_state.version()) {
                 m_updates.add_own_ranges(reply.map, *record);
             }
-            take_reports(request, *record, at);
+            handle_reports(request, *record, at);
             // Only a node with the current table and routes gets a lease: a change is in force
             // everywhere within one lease length, even where a node is unreachable.
             if (current && !m_leases.revoked(record->number)) {
@@ -460,16 +462,16 @@
             register_node(request, from, at);
         }
     }
-    take_crashes(request, from, reply, at);
+    handle_crash_reports(request, from, reply, at);
     reply.origin = request.origin;
-    m_outgoing.push_back({waiting.from, std::move(reply)});
+    m_outgoing.push_back({pending.from, std::move(reply)});
 }
 
 void control_core::register_node(const renew_request &request, const node_address &from,
                                  moment at) {
     if (request.target.incarnation == any_life || request.draining || request.giving_up ||
         !m_state.has_service(request.target.service) ||
-        !m_registering.insert(registration_key(request.target)).second) {
+        !m_pending_registrations.insert(registration_id(request.target)).second) {
         return;
     }
     target_record record = request.target;
@@ -487,8 +489,8 @@
     propose(at, "node " + from, "target announced itself", register_target{record});
 }
 
-void control_core::take_reports(const renew_request &request, const target_record &record,
-                                moment at) {
+void control_core::handle_reports(const renew_request &request, const target_record &record,
+                                  moment at) {
     const std::string actor = "node of " + record.name;
     for (const range_report &report : request.released) {
         const range_record *range = m_state.find_range(report.service, report.first);
@@ -527,18 +529,18 @@
         propose(at, actor, "target lost; lease given up by its node",
                 expire_targets{{record.number}});
     }
-    take_loads(request, record, at);
+    record_loads(request, record, at);
 }
 
 /// Nodes repeat a crash report until it is part of the committed state, so that the loss of a
 /// leader loses no report.
-void control_core::take_crashes(const renew_request &request, const node_address &from,
-                                renew_reply &reply, moment at) {
+void control_core::handle_crash_reports(const renew_request &request, const node_address &from,
+                                        renew_reply &reply, moment at) {
     const crash_ledger &known = m_state.crashes();
     for (const crash_report &report : request.crashes) {
         if (known.knows(report.life)) {
             reply.crashes_recorded.push_back(report.life);
-        } else if (m_reporting.insert(report.life).second) {
+        } else if (m_pending_crash_reports.insert(report.life).second) {
             propose(at, "node " + from, "target ended while it ran requests",
                     report_crash{report.target, report.life, report.running});
         }
@@ -559,7 +561,7 @@
     }
 }
 
-void control_core::end_quarantines(moment at) {
+void control_core::release_expired_quarantines(moment at) {
     const std::int64_t quarantine_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(m_options.quarantine).count();
     std::vector<std::uint64_t> over;
@@ -574,10 +576,10 @@
     }
 }
 
-void control_core::take_loads(const renew_request &request, const target_record &record,
-                              moment at) {
+void control_core::record_loads(const renew_request &request, const target_record &record,
+                                moment at) {
     if (!request.loads.empty() || !request.hot_keys.empty()) {
-        m_loads.note(record.service, record.number, request, at.now);
+        m_load_tracker.note(record.service, record.number, request, at.now);
     }
 }
 
@@ -585,17 +587,17 @@
 /// step. Expiring leases now would take keys from targets that were reachable all the time. Stalls
 /// in close succession do not extend the delay, or the leases of a lost target would not expire
 /// while they go on.
-void control_core::note_stall(instant now) {
-    const bool stalled = m_ticked_at != instant{} && now > m_ticked_at + m_options.stall_threshold;
-    m_ticked_at = now;
-    if (stalled && now >= m_next_patience) {
-        m_patient_until = now + m_options.expiry_delay_after_stall;
-        m_next_patience = m_patient_until + m_options.lease.length;
+void control_core::detect_stall(instant now) {
+    const bool stalled = m_last_tick != instant{} && now > m_last_tick + m_options.stall_threshold;
+    m_last_tick = now;
+    if (stalled && now >= m_next_expiry_delay) {
+        m_expiry_suspended_until = now + m_options.expiry_delay_after_stall;
+        m_next_expiry_delay = m_expiry_suspended_until + m_options.lease.length;
     }
 }
 
-void control_core::end_leases(moment at) {
-    if (at.now < m_patient_until) {
+void control_core::expire_leases(moment at) {
+    if (at.now < m_expiry_suspended_until) {
         return;
     }
     std::vector<target_number> ended = m_leases.take_ended(at.now);
@@ -609,10 +611,10 @@
         propose(at, lease_actor, "lease ended without a renewal",
                 expire_targets{{from, from + static_cast<std::ptrdiff_t>(count)}});
     }
-    if (m_leases_known == m_state.version()) {
+    if (m_leases_version == m_state.version()) {
         return;
     }
-    m_leases_known = m_state.version();
+    m_leases_version = m_state.version();
     for (const auto &[number, record] : m_state.targets()) {
         if (record.phase != target_phase::gone && !m_leases.knows(number)) {
             m_leases.note_renewed(number, record.checks_tokens, at.now);
@@ -625,25 +627,25 @@
 /// Pushes map changes to the affected nodes, so that a new owner does not wait for its next
 /// renewal. A push grants no lease; if it is lost, the next renewal delivers the change.
 void control_core::push_updates() {
-    if (m_state.version() == m_last_pushed) {
+    if (m_state.version() == m_pushed_version) {
         return;
     }
-    const auto touched = m_state.touched_since(m_last_pushed);
-    m_last_pushed = m_state.version();
+    const auto touched = m_state.touched_since(m_pushed_version);
+    m_pushed_version = m_state.version();
     const bool many_nodes = m_nodes.size() >= m_options.min_nodes_for_selective_push;
     if (!touched || touched->empty() ||
         (many_nodes && touched->size() > m_options.max_push_items)) {
         return;
     }
-    std::set<target_number> concerned;
+    std::set<target_number> affected;
     for (const touched_item &item : *touched) {
-        concerned.insert(item.number);
+        affected.insert(item.number);
         if (const range_record *range = m_state.find_range(item.service, item.first)) {
-            concerned.insert({range->owner, range->next});
+            affected.insert({range->owner, range->next});
         }
     }
     for (auto &[address, node] : m_nodes) {
-        if (many_nodes && concerned.count(node.number) == 0) {
+        if (many_nodes && affected.count(node.number) == 0) {
             continue;
         }
         const map_update &update = m_updates.since(node.map_version);
@@ -656,36 +658,36 @@
 
 // ---- decisions ----
 
-void control_core::place(moment at) {
+void control_core::run_placement(moment at) {
     // All earlier proposals must be applied first, or the same decision would be made twice.
-    if (at.now < m_place_at || m_state.version() < m_last_proposed) {
+    if (at.now < m_next_placement || m_state.version() < m_last_proposed_index) {
         return;
     }
-    const bool balance_due = at.now >= m_balance_at;
-    if (m_state.version() == m_last_placed && !balance_due) {
+    const bool balance_due = at.now >= m_next_balance;
+    if (m_state.version() == m_placed_version && !balance_due) {
         return;
     }
-    m_place_at = at.now + m_options.placement_interval;
+    m_next_placement = at.now + m_options.placement_interval;
     if (balance_due) {
-        m_balance_at = at.now + m_options.balance_interval;
-        close_memory_windows(at);
-        end_quarantines(at);
-        m_loads.forget_old(at.now);
+        m_next_balance = at.now + m_options.balance_interval;
+        end_expired_key_retention(at);
+        release_expired_quarantines(at);
+        m_load_tracker.forget_old(at.now);
     }
     const std::set<std::string> services = services_to_place(balance_due);
-    m_last_placed = m_state.version();
-    const std::uint64_t proposed_before = m_last_proposed;
+    m_placed_version = m_state.version();
+    const std::uint64_t proposed_before = m_last_proposed_index;
     for (const std::string &service : services) {
         place_service(service, at, balance_due);
     }
     // Keys without an owner have priority: after the loss of a failure domain, choosing standbys is
     // twice as much work and can wait for the next run, which the grants trigger.
-    if (m_last_proposed != proposed_before) {
+    if (m_last_proposed_index != proposed_before) {
         return;
     }
     for (const std::string &service : services) {
-        choose_standbys(service, at);
-        finish_stops(service, at);
+        assign_standbys(service, at);
+        retire_drained_targets(service, at);
     }
 }
 
@@ -693,7 +695,7 @@
 /// loads change without a new state version.
 std::set<std::string> control_core::services_to_place(bool balance_due) const {
     std::set<std::string> services;
-    const auto touched = m_state.touched_since(m_last_placed);
+    const auto touched = m_state.touched_since(m_placed_version);
     if (balance_due || !touched) {
         for (const auto &[service, ranges] : m_state.ranges()) {
             services.insert(service);
@@ -741,9 +743,9 @@
         view.targets.push_back(std::move(target));
     }
     if (m_state.ordered_keys(service)) {
-        m_loads.weigh_by_capacity(view);
+        m_load_tracker.weigh_by_capacity(view);
     }
-    m_loads.describe(service, view);
+    m_load_tracker.describe(service, view);
     return view;
 }
 
@@ -755,27 +757,28 @@
         by_range[m_state.find_range(service, cut)->first].push_back(cut);
     }
     for (const auto &[first, inside] : by_range) {
-        m_loads.share(service, first, inside);
+        m_load_tracker.share(service, first, inside);
     }
 }
 
 void control_core::place_service(const std::string &service, moment at, bool balance_due) {
     const std::vector<range_record> &ranges = m_state.ranges().at(service);
-    const bool orphans = std::any_of(ranges.begin(), ranges.end(), [](const range_record &range) {
-        return range.owner == no_target;
-    });
+    const bool has_unowned_ranges =
+        std::any_of(ranges.begin(), ranges.end(),
+                    [](const range_record &range) { return range.owner == no_target; });
     const std::set<target_number> &numbers = m_state.live_targets(service);
-    const bool stopping = std::any_of(numbers.begin(), numbers.end(), [&](target_number number) {
-        return m_state.targets().at(number).phase == target_phase::draining;
-    });
-    if (!orphans && !stopping && !balance_due) {
+    const bool has_draining_targets =
+        std::any_of(numbers.begin(), numbers.end(), [&](target_number number) {
+            return m_state.targets().at(number).phase == target_phase::draining;
+        });
+    if (!has_unowned_ranges && !has_draining_targets && !balance_due) {
         return;
     }
     // At the first start targets register one by one; without this delay the first would get every
     // range.
     const bool never_owned = std::all_of(ranges.begin(), ranges.end(),
                                          [](const auto &range) { return range.token == 0; });
-    if (never_owned && at.now < m_last_joined + m_options.initial_placement_delay) {
+    if (never_owned && at.now < m_last_registration + m_options.initial_placement_delay) {
         return;
     }
     const placement_decision decision = m_placement.decide(view_of(service));
@@ -792,15 +795,16 @@
     }
 }
 
-target_number control_core::standby_for(const target_record &record,
-                                        const std::map<target_number, std::size_t> &duties) const {
+target_number
+control_core::best_standby_for(const target_record &record,
+                               const std::map<target_number, std::size_t> &standby_counts) const {
     target_number best = no_target;
     const auto rank = [&](const target_record &candidate) {
         // Both copies should not be in one failure domain, and no target should be standby for
         // many.
-        const bool near = candidate.failure_domain == record.failure_domain;
-        const auto found = duties.find(candidate.number);
-        return std::pair(near, found == duties.end() ? 0 : found->second);
+        const bool same_domain = candidate.failure_domain == record.failure_domain;
+        const auto found = standby_counts.find(candidate.number);
+        return std::pair(same_domain, found == standby_counts.end() ? 0 : found->second);
     };
     for (const target_number number : m_state.live_targets(record.service)) {
         const target_record &candidate = m_state.targets().at(number);
@@ -815,16 +819,16 @@
     return best;
 }
 
-void control_core::choose_standbys(const std::string &service, moment at) {
+void control_core::assign_standbys(const std::string &service, moment at) {
     if (m_state.ordered_keys(service)) {
         return; // its requests carry no idempotency keys
     }
     const std::set<target_number> &numbers = m_state.live_targets(service);
-    std::map<target_number, std::size_t> duties;
+    std::map<target_number, std::size_t> standby_counts;
     for (const target_number number : numbers) {
         const target_number standby = m_state.targets().at(number).standby;
         if (standby != no_target) {
-            ++duties[standby];
+            ++standby_counts[standby];
         }
     }
     for (const target_number number : numbers) {
@@ -834,16 +838,16 @@
         if (standby != nullptr && !leaving) {
             continue;
         }
-        const target_number chosen = standby_for(record, duties);
+        const target_number chosen = best_standby_for(record, standby_counts);
         if (chosen != record.standby) {
-            ++duties[chosen];
+            ++standby_counts[chosen];
             propose(at, placement_actor, leaving ? "standby is stopping" : "target has no standby",
                     set_standby{number, chosen, false, 0});
         }
     }
 }
 
-void control_core::finish_stops(const std::string &service, moment at) {
+void control_core::retire_drained_targets(const std::string &service, moment at) {
     const std::set<target_number> &numbers = m_state.live_targets(service);
     const std::vector<range_record> &ranges = m_state.ranges().at(service);
     for (const target_number number : numbers) {
@@ -865,7 +869,7 @@
     }
 }
 
-void control_core::close_memory_windows(moment at) {
+void control_core::end_expired_key_retention(moment at) {
     const std::int64_t retention_ms =
         std::chrono::duration_cast<std::chrono::milliseconds>(m_options.key_retention).count();
     for (const auto &[service, ranges] : m_state.ranges()) {
