--- a/include/peppertack/coordination/load_tracker.hpp
+++ b/include/peppertack/coordination/load_tracker.hpp
@@ -16,25 +16,25 @@
 class load_tracker {
 public:
     /// Records the loads and the capacity that a node reports for a target.
-    void note(const std::string &service, target_number target, const renew_request &report,
-              instant now);
+    void record(const std::string &service, target_number target, const renew_request &report,
+                instant now);
     /// Removes ranges and hot keys that have not been reported for 10 s, such as those of a lost
     /// target.
-    void forget_old(instant now);
+    void remove_expired(instant now);
     void forget(target_number target) { m_capacities.erase(target); }
     void clear();
 
     /// Adds the loads, split points and hot keys of a service to the placement input.
-    void describe(const std::string &service, placement_view &view) const;
+    void add_loads(const std::string &service, placement_view &view) const;
     /// Scales target weights by measured capacity. Targets of one service differ in speed, which no
     /// table row expresses: equal shares would overload slow targets while fast ones have room. A
     /// target without a measurement counts as average.
-    void weigh_by_capacity(placement_view &view) const;
+    void scale_weights_by_capacity(placement_view &view) const;
     /// Divides the rate of a range that was split at `split_points` evenly among its parts, until
     /// these are measured. Otherwise the upper parts would look idle and the lowest as heavy as
     /// before.
-    void share(const std::string &service, std::uint64_t first,
-               const std::vector<std::uint64_t> &split_points);
+    void divide_load(const std::string &service, std::uint64_t first,
+                     const std::vector<std::uint64_t> &split_points);
 
 private:
     struct measured_rate {
--- a/include/peppertack/coordination/map_update_cache.hpp
+++ b/include/peppertack/coordination/map_update_cache.hpp
@@ -16,11 +16,11 @@
 /// safe.
 class map_update_cache {
 public:
-    /// Preconditions: `state` outlives the object; `most_items` is above 0.
-    map_update_cache(const control_state &state, std::size_t most_items)
-        : m_state(state), m_most_items(most_items) {}
+    /// Preconditions: `state` outlives the object; `max_items` is above 0.
+    map_update_cache(const control_state &state, std::size_t max_items)
+        : m_state(state), m_max_items(max_items) {}
 
-    /// Returns the changes since `version`, limited to about `most_items`, or the full map if the
+    /// Returns the changes since `version`, limited to about `max_items`, or the full map if the
     /// history does not reach back that far. The reference is valid until the next call.
     const map_update &since(std::uint64_t version);
     /// Adds the ranges that a node owns or must hand over: it needs these at once, even if the
@@ -28,13 +28,13 @@
     void add_own_ranges(map_update &update, const target_record &record) const;
 
 private:
-    map_update make_since(std::uint64_t version) const;
-    map_update whole() const;
+    map_update build_since(std::uint64_t version) const;
+    map_update full_map() const;
 
     const control_state &m_state;
-    std::size_t m_most_items;
-    std::map<std::uint64_t, map_update> m_kept; ///< by start version
-    std::uint64_t m_kept_version = 0;           ///< end version of the cached updates
+    std::size_t m_max_items;
+    std::map<std::uint64_t, map_update> m_cache; ///< by start version
+    std::uint64_t m_cache_version = 0;           ///< end version of the cached updates
 };
 
 } // namespace peppertack
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -579,7 +579,7 @@
 void control_core::record_loads(const renew_request &request, const target_record &record,
                                 moment at) {
     if (!request.loads.empty() || !request.hot_keys.empty()) {
-        m_load_tracker.note(record.service, record.number, request, at.now);
+        m_load_tracker.record(record.service, record.number, request, at.now);
     }
 }
 
@@ -672,7 +672,7 @@
         m_next_balance = at.now + m_options.balance_interval;
         end_expired_key_retention(at);
         release_expired_quarantines(at);
-        m_load_tracker.forget_old(at.now);
+        m_load_tracker.remove_expired(at.now);
     }
     const std::set<std::string> services = services_to_place(balance_due);
     m_placed_version = m_state.version();
@@ -743,9 +743,9 @@
         view.targets.push_back(std::move(target));
     }
     if (m_state.ordered_keys(service)) {
-        m_load_tracker.weigh_by_capacity(view);
+        m_load_tracker.scale_weights_by_capacity(view);
     }
-    m_load_tracker.describe(service, view);
+    m_load_tracker.add_loads(service, view);
     return view;
 }
 
@@ -757,7 +757,7 @@
         by_range[m_state.find_range(service, cut)->first].push_back(cut);
     }
     for (const auto &[first, inside] : by_range) {
-        m_load_tracker.share(service, first, inside);
+        m_load_tracker.divide_load(service, first, inside);
     }
 }
 
--- a/src/coordination/map_update_cache.cpp
+++ b/src/coordination/map_update_cache.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kept_updates = 64;
+constexpr std::size_t max_cached_updates = 64;
 
 } // namespace
 
@@ -24,7 +24,7 @@
             .standby_epoch = record.standby_epoch};
 }
 
-map_update map_update_cache::whole() const {
+map_update map_update_cache::full_map() const {
     map_update update{.from = 0, .to = m_state.version(), .as_of = m_state.version()};
     for (const auto &[number, record] : m_state.targets()) {
         if (record.phase != target_phase::gone) {
@@ -38,27 +38,27 @@
 }
 
 const map_update &map_update_cache::since(std::uint64_t version) {
-    if (m_kept_version != m_state.version() || m_kept.size() >= kept_updates) {
-        m_kept.clear();
-        m_kept_version = m_state.version();
+    if (m_cache_version != m_state.version() || m_cache.size() >= max_cached_updates) {
+        m_cache.clear();
+        m_cache_version = m_state.version();
     }
-    const auto found = m_kept.find(version);
-    return found != m_kept.end() ? found->second
-                                 : m_kept.emplace(version, make_since(version)).first->second;
+    const auto found = m_cache.find(version);
+    return found != m_cache.end() ? found->second
+                                  : m_cache.emplace(version, build_since(version)).first->second;
 }
 
-map_update map_update_cache::make_since(std::uint64_t version) const {
+map_update map_update_cache::build_since(std::uint64_t version) const {
     auto touched = version == 0 ? std::nullopt : m_state.touched_since(version);
     if (!touched || version > m_state.version()) {
-        return whole();
+        return full_map();
     }
     map_update update{.from = version, .to = m_state.version(), .as_of = m_state.version()};
-    if (touched->size() > m_most_items) {
+    if (touched->size() > m_max_items) {
         // Truncated at a version boundary. Records carry their current values, which is harmless:
         // items touched after `to` are sent again. The rest follows with the next renewals, so that
         // after the loss of a failure domain no node takes more than its share of the leader's
         // time.
-        update.to = (*touched)[m_most_items].version;
+        update.to = (*touched)[m_max_items].version;
         std::erase_if(*touched, [&](const touched_item &item) { return item.version > update.to; });
     }
     std::set<target_number> targets;
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr double least_share = 1e-9;
-constexpr std::uint64_t narrowest_split =
+constexpr double min_share = 1e-9;
+constexpr std::uint64_t min_split_width =
     1ULL << 40U; ///< in a narrower range a single key carries the load
 
 std::uint64_t last_hash(const std::vector<range_record> &ranges, std::size_t at) {
@@ -20,9 +20,9 @@
 
 /// Mutable load model of a view: targets and ranges by dense index, loads updated as moves are
 /// chosen.
-class workbench {
+class load_model {
 public:
-    workbench(const placement_view &view, double prior_rate)
+    load_model(const placement_view &view, double prior_rate)
         : m_view(&view), m_shares(range_shares(view, prior_rate)) {
         double total = 0;
         for (const placement_target &target : view.targets) {
@@ -32,19 +32,19 @@
             const placement_target &target = view.targets[i];
             m_index[target.number] = i;
             const double weight = target.accepts && total > 0 ? target.weight / total : 0;
-            m_goal.push_back(std::max(weight, least_share));
+            m_desired_shares.push_back(std::max(weight, min_share));
         }
-        m_load.assign(view.targets.size(), 0);
+        m_loads.assign(view.targets.size(), 0);
         m_owned.resize(view.targets.size());
-        m_rate.assign(view.targets.size(), 0);
+        m_rates.assign(view.targets.size(), 0);
         for (std::size_t i = 0; i < view.ranges->size(); ++i) {
             const range_record &range = (*view.ranges)[i];
             // A range that is being moved counts towards its destination.
             const std::size_t holder = index_of(range.next != no_target ? range.next : range.owner);
             if (holder != none) {
-                m_load[holder] += m_shares[i];
+                m_loads[holder] += m_shares[i];
                 const auto measured = view.loads.find(range.first);
-                m_rate[holder] += measured == view.loads.end() ? 0 : measured->second;
+                m_rates[holder] += measured == view.loads.end() ? 0 : measured->second;
                 m_owned[holder].push_back(i);
             }
         }
@@ -57,9 +57,9 @@
         return found == m_index.end() ? none : found->second;
     }
     double share(std::size_t range) const { return m_shares[range]; }
-    double load(std::size_t target) const { return m_load[target]; }
-    double goal(std::size_t target) const { return m_goal[target]; }
-    double ratio(std::size_t target) const { return m_load[target] / m_goal[target]; }
+    double load(std::size_t target) const { return m_loads[target]; }
+    double desired_share(std::size_t target) const { return m_desired_shares[target]; }
+    double ratio(std::size_t target) const { return m_loads[target] / m_desired_shares[target]; }
     const std::vector<std::size_t> &owned(std::size_t target) const { return m_owned[target]; }
     bool accepts(std::size_t target) const {
         return m_view->targets[target].accepts && m_view->targets[target].weight > 0;
@@ -67,33 +67,33 @@
     /// Whether a target's measured rate exceeds `part` of its capacity; true if that is unknown.
     bool busy(std::size_t target, double part) const {
         const double capacity = m_view->targets[target].capacity;
-        return capacity == 0 || m_rate[target] > capacity * part;
+        return capacity == 0 || m_rates[target] > capacity * part;
     }
-    void shift(double share, std::size_t from, std::size_t to) {
+    void move_load(double share, std::size_t from, std::size_t to) {
         if (from != none) {
-            m_load[from] -= share;
+            m_loads[from] -= share;
         }
-        m_load[to] += share;
+        m_loads[to] += share;
     }
 
 private:
     const placement_view *m_view;
     std::vector<double> m_shares;
     std::unordered_map<target_number, std::size_t> m_index;
-    std::vector<double> m_goal;
-    std::vector<double> m_load;
-    std::vector<double> m_rate; ///< requests a second
+    std::vector<double> m_desired_shares;
+    std::vector<double> m_loads;
+    std::vector<double> m_rates; ///< requests a second
     std::vector<std::vector<std::size_t>> m_owned;
 };
 
 /// Priority queue of targets by load ratio, least loaded first. Entries become stale when a load
 /// changes; `take` reinserts a stale entry with the current ratio.
-class emptiest_first {
+class least_loaded_queue {
 public:
-    explicit emptiest_first(const workbench &bench, std::size_t targets) : m_bench(&bench) {
+    explicit least_loaded_queue(const load_model &model, std::size_t targets) : m_bench(&model) {
         for (std::size_t i = 0; i < targets; ++i) {
-            if (bench.accepts(i)) {
-                m_queue.emplace(bench.ratio(i), i);
+            if (model.accepts(i)) {
+                m_queue.emplace(model.ratio(i), i);
             }
         }
     }
@@ -102,35 +102,36 @@
         while (!m_queue.empty()) {
             const auto [ratio, target] = m_queue.top();
             m_queue.pop();
-            if (ratio >= m_bench->ratio(target) - least_share) {
+            if (ratio >= m_bench->ratio(target) - min_share) {
                 return target;
             }
             m_queue.emplace(m_bench->ratio(target), target);
         }
-        return workbench::none;
+        return load_model::none;
     }
     void put_back(std::size_t target) { m_queue.emplace(m_bench->ratio(target), target); }
 
 private:
     using item = std::pair<double, std::size_t>;
-    const workbench *m_bench;
+    const load_model *m_bench;
     std::priority_queue<item, std::vector<item>, std::greater<>> m_queue;
 };
 
-/// Assigns each range of `orphans` (positions) to the least loaded target, heaviest range first.
-void hand_out(const placement_view &view, workbench &bench, std::vector<std::size_t> orphans,
-              std::vector<range_choice> &choices) {
-    std::sort(orphans.begin(), orphans.end(), [&](std::size_t a, std::size_t b) {
-        return bench.share(a) != bench.share(b) ? bench.share(a) > bench.share(b) : a < b;
+/// Assigns each range of `unassigned` (positions) to the least loaded target, heaviest range first.
+void assign_to_least_loaded(const placement_view &view, load_model &model,
+                            std::vector<std::size_t> unassigned,
+                            std::vector<range_choice> &choices) {
+    std::sort(unassigned.begin(), unassigned.end(), [&](std::size_t a, std::size_t b) {
+        return model.share(a) != model.share(b) ? model.share(a) > model.share(b) : a < b;
     });
-    emptiest_first queue(bench, view.targets.size());
-    for (const std::size_t range : orphans) {
+    least_loaded_queue queue(model, view.targets.size());
+    for (const std::size_t range : unassigned) {
         const std::size_t to = queue.take();
-        if (to == workbench::none) {
+        if (to == load_model::none) {
             return;
         }
         const range_record &record = (*view.ranges)[range];
-        bench.shift(bench.share(range), bench.index_of(record.owner), to);
+        model.move_load(model.share(range), model.index_of(record.owner), to);
         queue.put_back(to);
         choices.push_back({record.first, view.targets[to].number});
     }
@@ -146,18 +147,18 @@
     return result;
 }
 
-std::size_t moves_under_way(const placement_view &view) {
+std::size_t moves_in_progress(const placement_view &view) {
     return static_cast<std::size_t>(
         std::count_if(view.ranges->begin(), view.ranges->end(),
                       [](const range_record &range) { return range.next != no_target; }));
 }
 
-std::vector<std::size_t> ranges_that_leave(const placement_view &view, const workbench &bench) {
+std::vector<std::size_t> ranges_to_drain(const placement_view &view, const load_model &model) {
     std::vector<std::size_t> result;
     for (std::size_t i = 0; i < view.ranges->size(); ++i) {
         const range_record &range = (*view.ranges)[i];
-        const std::size_t owner = bench.index_of(range.owner);
-        if (range.next == no_target && owner != workbench::none && view.targets[owner].draining) {
+        const std::size_t owner = model.index_of(range.owner);
+        if (range.next == no_target && owner != load_model::none && view.targets[owner].draining) {
             result.push_back(i);
         }
     }
@@ -165,14 +166,14 @@
 }
 
 /// Least loaded target that stays within its weight share plus tolerance after taking `share`.
-std::size_t destination_for(const placement_view &view, const workbench &bench, double share,
+std::size_t destination_for(const placement_view &view, const load_model &model, double share,
                             double tolerance) {
-    std::size_t best = workbench::none;
+    std::size_t best = load_model::none;
     for (std::size_t i = 0; i < view.targets.size(); ++i) {
-        if (!bench.accepts(i) || bench.load(i) + share > bench.goal(i) * (1 + tolerance)) {
+        if (!model.accepts(i) || model.load(i) + share > model.desired_share(i) * (1 + tolerance)) {
             continue;
         }
-        if (best == workbench::none || bench.ratio(i) < bench.ratio(best)) {
+        if (best == load_model::none || model.ratio(i) < model.ratio(best)) {
             best = i;
         }
     }
@@ -202,11 +203,11 @@
 }
 
 double imbalance(const placement_view &view, double prior_rate) {
-    const workbench bench(view, prior_rate);
+    const load_model model(view, prior_rate);
     double worst = 0;
     for (std::size_t i = 0; i < view.targets.size(); ++i) {
-        if (bench.accepts(i)) {
-            worst = std::max(worst, bench.ratio(i));
+        if (model.accepts(i)) {
+            worst = std::max(worst, model.ratio(i));
         }
     }
     return worst;
@@ -221,26 +222,27 @@
     return static_cast<std::size_t>(std::distance(ranges.begin(), after)) - 1;
 }
 
-std::size_t fullest_but(const workbench &bench, const std::vector<char> &passed) {
-    std::size_t fullest = workbench::none;
-    for (std::size_t i = 0; i < passed.size(); ++i) {
-        const bool fuller = fullest == workbench::none || bench.ratio(i) > bench.ratio(fullest);
-        if (passed[i] == 0 && fuller) {
-            fullest = i;
+std::size_t most_loaded_except(const load_model &model, const std::vector<char> &skipped) {
+    std::size_t most_loaded = load_model::none;
+    for (std::size_t i = 0; i < skipped.size(); ++i) {
+        const bool more_loaded =
+            most_loaded == load_model::none || model.ratio(i) > model.ratio(most_loaded);
+        if (skipped[i] == 0 && more_loaded) {
+            most_loaded = i;
         }
     }
-    return fullest;
+    return most_loaded;
 }
 
-/// Heaviest range of target `from` with a share of at most `most`. A range heavier than the excess
-/// and the room elsewhere would only overload its new owner.
-std::size_t range_to_move(const placement_view &view, const workbench &bench, std::size_t from,
-                          const std::vector<char> &moved, double most) {
-    std::size_t best = workbench::none;
-    for (const std::size_t range : bench.owned(from)) {
+/// Heaviest range of target `from` with a share of at most `max_share`. A range heavier than
+/// the excess and the room elsewhere would only overload its new owner.
+std::size_t range_to_move(const placement_view &view, const load_model &model, std::size_t from,
+                          const std::vector<char> &moved, double max_share) {
+    std::size_t best = load_model::none;
+    for (const std::size_t range : model.owned(from)) {
         const bool free = moved[range] == 0 && (*view.ranges)[range].next == no_target;
-        const bool better = best == workbench::none || bench.share(range) > bench.share(best);
-        if (free && bench.share(range) <= most && better) {
+        const bool better = best == load_model::none || model.share(range) > model.share(best);
+        if (free && model.share(range) <= max_share && better) {
             best = range;
         }
     }
@@ -249,7 +251,7 @@
 
 /// Plans moves away from overloaded targets, each only if its gain exceeds the service's price of a
 /// move.
-void balance(const placement_view &view, const placement_options &options, workbench &bench,
+void balance(const placement_view &view, const placement_options &options, load_model &model,
              std::size_t budget, placement_decision &decision) {
     const double threshold = options.min_gain_per_price * view.churn_price;
     const double limit = 1 + options.tolerance;
@@ -257,31 +259,33 @@
     for (const std::uint64_t cut : decision.splits) {
         moved[position_of(*view.ranges, cut)] = 1; // its parts are considered in the next decision
     }
-    std::vector<char> passed(view.targets.size(), 0);
+    std::vector<char> skipped(view.targets.size(), 0);
     while (budget > 0) {
-        const std::size_t from = fullest_but(bench, passed);
-        if (from == workbench::none || bench.ratio(from) <= limit) {
+        const std::size_t from = most_loaded_except(model, skipped);
+        if (from == load_model::none || model.ratio(from) <= limit) {
             return;
         }
         double room = 0;
         for (std::size_t i = 0; i < view.targets.size(); ++i) {
-            room = std::max(room, bench.accepts(i) ? bench.goal(i) * limit - bench.load(i) : 0);
+            room = std::max(room,
+                            model.accepts(i) ? model.desired_share(i) * limit - model.load(i) : 0);
         }
-        const double excess = (bench.load(from) - bench.goal(from)) * limit;
-        const std::size_t range = range_to_move(view, bench, from, moved, std::min(excess, room));
+        const double excess = (model.load(from) - model.desired_share(from)) * limit;
+        const std::size_t range = range_to_move(view, model, from, moved, std::min(excess, room));
         const std::size_t to =
-            range == workbench::none
-                ? workbench::none
-                : destination_for(view, bench, bench.share(range), options.tolerance);
-        const bool needless = to != workbench::none && !bench.busy(from, options.busy_threshold) &&
-                              bench.ratio(to) > options.underload_threshold;
-        if (to == workbench::none || needless ||
-            bench.share(range) / bench.goal(from) < threshold) {
-            passed[from] = 1;
+            range == load_model::none
+                ? load_model::none
+                : destination_for(view, model, model.share(range), options.tolerance);
+        const bool unnecessary = to != load_model::none &&
+                                 !model.busy(from, options.busy_threshold) &&
+                                 model.ratio(to) > options.underload_threshold;
+        if (to == load_model::none || unnecessary ||
+            model.share(range) / model.desired_share(from) < threshold) {
+            skipped[from] = 1;
             continue;
         }
         moved[range] = 1;
-        bench.shift(bench.share(range), from, to);
+        model.move_load(model.share(range), from, to);
         decision.moves.push_back({(*view.ranges)[range].first, view.targets[to].number});
         decision.move_cause = "load above weight share";
         --budget;
@@ -290,7 +294,7 @@
 
 /// Middle of the range at position `i`, rounded down to the start of a key; nothing if the range
 /// holds a single key.
-std::optional<std::uint64_t> middle_of(const placement_view &view, std::size_t i) {
+std::optional<std::uint64_t> midpoint_of(const placement_view &view, std::size_t i) {
     const std::uint64_t first = (*view.ranges)[i].first;
     const std::uint64_t middle = first + (last_hash(*view.ranges, i) - first) / 2 + 1;
     const std::uint64_t cut = middle - middle % view.key_distance;
@@ -298,12 +302,12 @@
 }
 
 /// Split points of the heavy range at position `i`: the measured ones, else its middle.
-std::vector<std::uint64_t> cuts_of(const placement_view &view, std::size_t i) {
+std::vector<std::uint64_t> split_points_of(const placement_view &view, std::size_t i) {
     const std::uint64_t first = (*view.ranges)[i].first;
     const std::uint64_t last = last_hash(*view.ranges, i);
     const auto measured = view.split_points.find(first);
     if (measured == view.split_points.end()) {
-        const std::optional<std::uint64_t> middle = middle_of(view, i);
+        const std::optional<std::uint64_t> middle = midpoint_of(view, i);
         return middle ? std::vector{*middle} : std::vector<std::uint64_t>{};
     }
     std::vector<std::uint64_t> result;
@@ -318,7 +322,7 @@
 
 /// Isolates hot keys in ranges of their own and splits ranges that are too heavy to move.
 void split_heavy(const placement_view &view, const placement_options &options,
-                 const workbench &bench, placement_decision &decision) {
+                 const load_model &model, placement_decision &decision) {
     const std::vector<range_record> &ranges = *view.ranges;
     for (const std::uint64_t hash : view.hot_keys) {
         const std::size_t at = position_of(ranges, hash);
@@ -332,15 +336,15 @@
         }
     }
     for (std::size_t i = 0; i < ranges.size(); ++i) {
-        const std::size_t owner = bench.index_of(ranges[i].owner);
+        const std::size_t owner = model.index_of(ranges[i].owner);
         const std::uint64_t last = last_hash(ranges, i);
-        if (owner == workbench::none || ranges[i].next != no_target ||
-            last - ranges[i].first < narrowest_split) {
+        if (owner == load_model::none || ranges[i].next != no_target ||
+            last - ranges[i].first < min_split_width) {
             continue;
         }
-        if (bench.share(i) > bench.goal(owner) / 4 && bench.ratio(owner) > 1 &&
-            bench.busy(owner, options.busy_threshold)) {
-            const std::vector<std::uint64_t> split_points = cuts_of(view, i);
+        if (model.share(i) > model.desired_share(owner) / 4 && model.ratio(owner) > 1 &&
+            model.busy(owner, options.busy_threshold)) {
+            const std::vector<std::uint64_t> split_points = split_points_of(view, i);
             decision.splits.insert(decision.splits.end(), split_points.begin(), split_points.end());
         }
     }
@@ -363,25 +367,25 @@
         if (decision.splits.size() >= wanted || width(i) < 2) {
             return;
         }
-        const std::optional<std::uint64_t> cut = middle_of(view, i);
+        const std::optional<std::uint64_t> cut = midpoint_of(view, i);
         if (cut && ranges[i].next == no_target) {
             decision.splits.push_back(*cut);
         }
     }
 }
 
-void merge_cold(const placement_view &view, const workbench &bench, std::size_t most,
+void merge_cold(const placement_view &view, const load_model &model, std::size_t max_merges,
                 placement_decision &decision) {
     const std::vector<range_record> &ranges = *view.ranges;
     const double cold = 0.25 / static_cast<double>(ranges.size());
-    for (std::size_t i = 1; i < ranges.size() && decision.merges.size() < most; ++i) {
+    for (std::size_t i = 1; i < ranges.size() && decision.merges.size() < max_merges; ++i) {
         const range_record &low = ranges[i - 1];
         const range_record &high = ranges[i];
         const bool settled = low.next == no_target && high.next == no_target &&
                              low.memory == range_memory::complete &&
                              high.memory == range_memory::complete;
         if (settled && low.owner != no_target && low.owner == high.owner &&
-            bench.share(i - 1) + bench.share(i) < cold) {
+            model.share(i - 1) + model.share(i) < cold) {
             decision.merges.push_back(high.first);
             ++i; // the merged range is considered in the next decision
         }
@@ -402,37 +406,37 @@
 
 placement_decision greedy_placement::decide(const placement_view &view) {
     placement_decision decision;
-    workbench bench(view, m_options.prior_rate);
-    hand_out(view, bench, ranges_without_owner(view), decision.grants);
+    load_model model(view, m_options.prior_rate);
+    assign_to_least_loaded(view, model, ranges_without_owner(view), decision.grants);
     if (!decision.grants.empty()) {
         return decision; // every key gets an owner before balancing
     }
-    std::vector<std::size_t> leaving = ranges_that_leave(view, bench);
-    const std::size_t under_way = moves_under_way(view);
-    if (!leaving.empty()) {
+    std::vector<std::size_t> to_drain = ranges_to_drain(view, model);
+    const std::size_t in_progress = moves_in_progress(view);
+    if (!to_drain.empty()) {
         const std::size_t room = m_options.max_concurrent_drain_moves -
-                                 std::min(m_options.max_concurrent_drain_moves, under_way);
-        leaving.resize(std::min(leaving.size(), room));
-        hand_out(view, bench, std::move(leaving), decision.moves);
+                                 std::min(m_options.max_concurrent_drain_moves, in_progress);
+        to_drain.resize(std::min(to_drain.size(), room));
+        assign_to_least_loaded(view, model, std::move(to_drain), decision.moves);
         decision.move_cause = "planned stop";
         return decision;
     }
     // Also while moves are in progress: a group of adjacent keys that becomes busy is split at
     // once.
-    split_heavy(view, m_options, bench, decision);
-    if (under_way == 0) {
+    split_heavy(view, m_options, model, decision);
+    if (in_progress == 0) {
         const std::size_t wanted = m_options.ranges_per_target * view.targets.size();
         if (decision.splits.empty() && view.ranges->size() < wanted) {
             split_widest(view, wanted - view.ranges->size(), decision);
         }
         if (decision.splits.empty() && view.ranges->size() > wanted * 3) {
-            merge_cold(view, bench, view.ranges->size() - wanted * 3, decision);
+            merge_cold(view, model, view.ranges->size() - wanted * 3, decision);
         }
     }
     // A merge changes the ranges that a move in the same decision could refer to.
-    const std::size_t most = decision.merges.empty() ? max_concurrent_moves(view) : 0;
-    const std::size_t room = most - std::min(most, under_way);
-    balance(view, m_options, bench, room, decision);
+    const std::size_t max_moves = decision.merges.empty() ? max_concurrent_moves(view) : 0;
+    const std::size_t room = max_moves - std::min(max_moves, in_progress);
+    balance(view, m_options, model, room, decision);
     return decision;
 }
 
--- a/tests/coordination/load_split_points_test.cpp
+++ b/tests/coordination/load_split_points_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-std::vector<key_load> neighbourhood(std::uint32_t from, std::uint32_t count,
+std::vector<key_load> adjacent_keys(std::uint32_t from, std::uint32_t count,
                                     std::uint32_t requests) {
     std::vector<key_load> loads;
     for (std::uint32_t i = 0; i < count; ++i) {
@@ -21,14 +21,14 @@
     // Symptom: for ten seconds a quarter of the lookups was refused while most targets were idle.
     // Sequence: 200 neighbouring keys became busy; their range was halved, one half moved, the
     // next half was measured, and so on. Cause: one cut a report.
-    const auto split_points = load_split_points(neighbourhood(1000, 200, 2), 20, 31);
+    const auto split_points = load_split_points(adjacent_keys(1000, 200, 2), 20, 31);
     REQUIRE(split_points.size() == 19);
     CHECK(split_points.front() == 1010);
     CHECK(split_points.back() == 1190);
 }
 
 TEST_CASE("a key that is too busy by itself gets a part of its own") {
-    std::vector<key_load> loads = neighbourhood(10, 5, 2);
+    std::vector<key_load> loads = adjacent_keys(10, 5, 2);
     loads[2].requests = 300;
     CHECK(load_split_points(loads, 20, 31) == std::vector<std::uint32_t>{12, 13});
     CHECK(load_split_points({{7, 300}}, 20, 31).empty());
@@ -36,6 +36,6 @@
 
 TEST_CASE("light ranges are not cut, and there are never more cuts than allowed") {
     CHECK(load_split_points({}, 20, 31).empty());
-    CHECK(load_split_points(neighbourhood(1, 10, 2), 20, 31).empty());
-    CHECK(load_split_points(neighbourhood(1, 500, 20), 20, 31).size() == 31);
+    CHECK(load_split_points(adjacent_keys(1, 10, 2), 20, 31).empty());
+    CHECK(load_split_points(adjacent_keys(1, 500, 20), 20, 31).size() == 31);
 }
--- a/tests/coordination/load_tracker_test.cpp
+++ b/tests/coordination/load_tracker_test.cpp
@@ -19,45 +19,45 @@
 } // namespace
 
 TEST_CASE("loads follow the reports, are shared out at a cut and forgotten in the end") {
-    load_tracker book;
-    book.note("s", 1, report(0, {{10, 80, {20, 30, 40}}}), start);
+    load_tracker tracker;
+    tracker.record("s", 1, report(0, {{10, 80, {20, 30, 40}}}), start);
     placement_view view;
-    book.describe("s", view);
+    tracker.add_loads("s", view);
     CHECK(view.loads.at(10) == 40); // half of the first report
     CHECK(view.split_points.at(10) == std::vector<std::uint64_t>{20, 30, 40});
-    book.share("s", 10, {20, 30, 40});
+    tracker.divide_load("s", 10, {20, 30, 40});
     placement_view after;
-    book.describe("s", after);
+    tracker.add_loads("s", after);
     for (const std::uint64_t first : {10U, 20U, 30U, 40U}) {
         CHECK(after.loads.at(first) == 10);
         CHECK(after.split_points.at(first).empty());
     }
-    book.forget_old(start + 11s);
+    tracker.remove_expired(start + 11s);
     placement_view old;
-    book.describe("s", old);
+    tracker.add_loads("s", old);
     CHECK(old.loads.empty());
 }
 
 TEST_CASE("weights follow what targets were measured to do, within bounds") {
-    load_tracker book;
+    load_tracker tracker;
     for (int i = 0; i < 5; ++i) {
-        book.note("s", 1, report(100, {{0, 1, {}}}), start);
-        book.note("s", 2, report(300, {{0, 1, {}}}), start);
+        tracker.record("s", 1, report(100, {{0, 1, {}}}), start);
+        tracker.record("s", 2, report(300, {{0, 1, {}}}), start);
     }
-    book.note("s", 3, report(1, {{0, 1, {}}}), start); // one report says little yet
+    tracker.record("s", 3, report(1, {{0, 1, {}}}), start); // one report says little yet
     placement_view view;
     for (const target_number number : {1U, 2U, 3U}) {
         view.targets.push_back({.number = number, .weight = 1});
     }
-    book.weigh_by_capacity(view);
+    tracker.scale_weights_by_capacity(view);
     CHECK(view.targets[0].weight == doctest::Approx(0.5));
     CHECK(view.targets[1].weight == doctest::Approx(1.5));
     CHECK(view.targets[1].capacity == doctest::Approx(300));
     CHECK(view.targets[2].weight == 1);
     CHECK(view.targets[2].capacity == 0);
-    book.forget(2);
+    tracker.forget(2);
     placement_view later;
     later.targets.push_back({.number = 2, .weight = 1});
-    book.weigh_by_capacity(later);
+    tracker.scale_weights_by_capacity(later);
     CHECK(later.targets[0].capacity == 0);
 }
