--- a/tests/coordination/failures_test.cpp
+++ b/tests/coordination/failures_test.cpp
@@ -19,7 +19,7 @@
     return (host + 1) % nodes;
 }
 
-/// A key whose owner is not the leader's host, and that owner.
+/// Returns a key whose owner is not the leader's host, and that owner.
 std::pair<unsigned int, std::size_t> key_beyond_leader(simulated_cluster &in) {
     for (unsigned int key = 0; key < 60; ++key) {
         const auto owner = in.owner_of(key);
@@ -34,9 +34,9 @@
 } // namespace
 
 TEST_CASE("an owner's node is cut off") {
-    // Symptom: two servers act on one key. Sequence: the owner's node is cut off in both directions
-    // while it still has requests; another takes its keys over. Cause it guards against: a lease
-    // that the cut-off side believes in for longer than the leader waits.
+    // Guards against a lease that is valid on an isolated node for longer than the leader waits.
+    // The owner's node is partitioned in both directions while it has requests, and another takes
+    // over its keys: two servers would act on one key.
     auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     for (std::size_t i = 0; i < in->hosts(); ++i) {
@@ -54,9 +54,9 @@
 }
 
 TEST_CASE("a leader is cut off from the voters but not from some nodes") {
-    // Symptom: a node serves on under a lease from a leader that was replaced. Sequence: the leader
-    // loses the other voters; nodes on its side go on asking it. Cause it guards against: answering
-    // a renewal without a quorum's confirmation after it came.
+    // Guards against answering a renewal without a quorum confirmation after its arrival. A leader
+    // loses contact with the other voters while nodes on its side keep renewing: they would serve
+    // under leases of a deposed leader.
     auto in = make_ready_cluster();
     const std::size_t leader = *in->leader();
     for (std::size_t voter = 0; voter < 3; ++voter) {
@@ -76,9 +76,9 @@
 }
 
 TEST_CASE("a control instance is cut off for a long time and returns") {
-    // Symptom: an old table comes back. Sequence: a voter misses a hundred changes and snapshots,
-    // then the network heals. Cause it guards against: its stale log winning an election, or its
-    // state reaching nodes.
+    // Guards against an old table coming back. A voter misses a hundred changes and snapshots, then
+    // the network heals: its stale log must not win an election, and its state must not reach
+    // nodes.
     auto in = make_ready_cluster();
     const std::size_t away = (*in->leader() + 1) % 3;
     for (std::size_t i = 0; i < in->hosts(); ++i) {
@@ -99,9 +99,8 @@
 }
 
 TEST_CASE("a process restarts after hundreds of changes were made while it was away") {
-    // Symptom: a voter or node never catches up. Sequence: a voter's host is down for changes that
-    // were compacted meanwhile. Cause it guards against: asking for entries that no log holds any
-    // more.
+    // Guards against requesting log entries that no voter holds any more. A voter's host is down
+    // while changes are made and compacted; the voter or node would never catch up.
     auto in = make_ready_cluster();
     const std::size_t away = (*in->leader() + 1) % 3;
     in->crash(away);
@@ -118,9 +117,9 @@
 }
 
 TEST_CASE("a node is paused with a request on its way to the target") {
-    // Symptom: a request is written after another server took the key. Sequence: the decision to
-    // call the target is made, the process is paused beyond its lease, then goes on. Cause it
-    // guards against: not looking at the lease again directly before the write.
+    // Guards against not checking the lease again directly before the write. The process is paused
+    // between the decision to call the target and the write until its lease has expired; the
+    // request would be written after another server took over the key.
     auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     const std::size_t number = in->submit(owner, key, simulated_cluster::request_kind::once);
@@ -133,9 +132,9 @@
 }
 
 TEST_CASE("a frozen target returns as if nothing had happened") {
-    // Symptom: a payment runs twice. Sequence: the target freezes with a request in it, its keys go
-    // elsewhere, the caller resends, the target wakes and finishes. Cause it guards against:
-    // running a key again whose first run nobody can account for.
+    // Guards against running an idempotency key again while the outcome of its first run is
+    // unknown. A target freezes with a request in progress, its keys are reassigned, the caller
+    // resends, and the target resumes and finishes: a payment would run twice.
     auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     const std::size_t number =
@@ -152,9 +151,9 @@
 }
 
 TEST_CASE("a connection is silent for good while new ones work") {
-    // Symptom: a caller waits until its deadline although owner and network are well. Sequence:
-    // what is sent on the open connection is lost in both directions; a new one works. Cause it
-    // guards against: trusting an open connection instead of asking over a new one.
+    // Guards against relying on an open connection instead of retrying over a new one. Data on the
+    // open connection is lost in both directions while new connections work; the caller would wait
+    // until its deadline although owner and network are healthy.
     auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     const std::size_t asked = other_than(owner);
@@ -171,9 +170,8 @@
 }
 
 TEST_CASE("an owner is lost after a payment: the resend gets the first answer") {
-    // Symptom: a family is charged twice. Sequence: the payment runs, its owner's instance is lost,
-    // the caller resends to another node. Cause it guards against: a new owner that does not know
-    // the key.
+    // Guards against a new owner without the idempotency key. The payment runs, its owner's
+    // instance is lost, and the caller resends to another node: the payment would run twice.
     auto in = make_ready_cluster();
     in->run(1s);
     const auto [key, owner] = key_beyond_leader(*in);
@@ -194,9 +192,9 @@
 }
 
 TEST_CASE("a second instance is lost right after the first was repaired") {
-    // Symptom: a doubled hand-over after two losses. Sequence: the owner is lost, its successor is
-    // lost a moment after it took over, the caller resends. Cause it guards against: counting keys
-    // as kept before the next standby holds them.
+    // Guards against counting keys as replicated before the next standby holds them. The owner is
+    // lost, its successor is lost just after it took over, and the caller resends: the request
+    // would run twice.
     auto in = make_ready_cluster();
     in->run(1s);
     const auto [key, owner] = key_beyond_leader(*in);
@@ -221,9 +219,8 @@
 }
 
 TEST_CASE("a voter and its disk are lost, replaced, and another voter is lost after") {
-    // Symptom: an accepted table is gone. Sequence: a voter is lost for good; a new one takes its
-    // place; right after, the leader is lost too. Cause it guards against: counting the new voter
-    // before it has caught up.
+    // Guards against counting a new voter before it has caught up. A voter is lost permanently and
+    // replaced, and right after that the leader is lost: an accepted table would be gone.
     auto in = make_ready_cluster();
     for (int i = 0; i < 20; ++i) {
         in->change_table(*in->leader(), in->accepted_version(), "change-" + std::to_string(i), 2);
@@ -240,8 +237,8 @@
 }
 
 TEST_CASE("the leader's disk fails") {
-    // Symptom: a change is accepted and gone after a power cut. Sequence: syncs begin to fail on
-    // the leader. Cause it guards against: acknowledging what was not synced.
+    // Guards against acknowledging entries that were not synced. Syncs start to fail on the leader;
+    // an accepted change would be lost in a power failure.
     auto in = make_ready_cluster();
     const std::size_t leader = *in->leader();
     in->break_disk(leader, fake_storage::fault::sync_fails);
@@ -254,9 +251,8 @@
 }
 
 TEST_CASE("a planned stop: nothing fails, and new work stops within two seconds") {
-    // Symptom: errors at each restart. Sequence: a stop is announced while requests go on from
-    // every node. Cause it guards against: cutting off what is in flight, or refusing what could
-    // wait.
+    // Guards against cancelling requests in flight, or refusing requests that could be queued, at
+    // each restart. A stop is announced while every node sends requests.
     auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     std::vector<std::size_t> requests;
@@ -281,8 +277,8 @@
 }
 
 TEST_CASE("nothing moves without a cause") {
-    // Symptom: keys change owners on a quiet day. Sequence: an hour passes in which nothing happens
-    // but requests. Cause it guards against: chasing small differences of load.
+    // Guards against moves for small differences of load: keys must not change owners while nothing
+    // happens but requests.
     auto in = make_ready_cluster();
     in->run(5s);
     const std::size_t leader = *in->leader();
@@ -307,10 +303,9 @@
 }
 
 TEST_CASE("a voter with the longer log and an earlier term can still be elected") {
-    // Symptom: no leader for ever, though a quorum is well and connected. Sequence: the leader
-    // takes an entry that nobody else gets; another voter stands for election in a later term and
-    // fails; the third is lost. Cause it guards against: refusals of a pre-vote that hide the later
-    // term.
+    // Guards against pre-vote refusals that hide a later term. The leader appends an entry that no
+    // other voter gets, another voter loses an election in a later term, and the third voter is
+    // lost: there would be no leader although a quorum is healthy and connected.
     fake_storage disks[2];
     std::string reason;
     std::optional<durable_log> longer = durable_log::open(disks[0], reason);
@@ -343,8 +338,9 @@
 }
 
 TEST_CASE("sequences in which the fuzzer found a violation") {
-    // Symptom: a request that may run once ran twice. Sequence: as drawn and shrunk. Cause: an
-    // acknowledgement of a standby batch taken for that of a hand-over with the same number.
+    // Guards against taking the acknowledgement of a standby batch for that of a hand-over with the
+    // same sequence number: a request that may run only once ran twice. The sequence was found and
+    // shrunk by the fuzzer.
     simulated_cluster in({.seed = 376342666});
     in.run(1200ms);
     in.change_table(in.leader().value_or(0), 0, "change-first", 1);
@@ -362,10 +358,10 @@
 }
 
 TEST_CASE("a node is cut off from the leader alone") {
-    // Symptom: a third of the lookups was refused for six seconds, and keys ran cold afterwards.
-    // Sequence: some nodes lost the way to the leading voter only; they reached the others, and
-    // these reached the leader. Cause: a renewal went to the leader or nowhere, so the leases ended
-    // and the keys were given away.
+    // Guards against renewals that reach the leader only directly. Some nodes lost the connection
+    // to the leader while they reached other voters, and these the leader. The leases expired and
+    // the keys were reassigned: a third of the lookups was refused for six seconds, and caches were
+    // cold afterwards.
     auto in = make_ready_cluster();
     const auto [key, owner] = key_beyond_leader(*in);
     const std::size_t leader = *in->leader();
@@ -380,11 +376,11 @@
 }
 
 TEST_CASE("a voter whose disk was full for a while takes part again") {
-    // One loss less than agreed was borne for the rest of a day. The disk of one of five voters
-    // refused bytes for 2.4 s: "voter_role failed, can't write log-00000000000000000000: No space
-    // left on device". Room was back, yet the voter never left that role, since its log refused
-    // every write after the first that failed. When two other voters were lost 6.2 s later, two of
-    // five could vote, nobody led, and routes that had been acknowledged reached no node.
+    // Guards against a voter that stays failed after its disk has space again. The disk of one of
+    // five voters was full for 2.4 s ("voter_role failed, can't write log-00000000000000000000: No
+    // space left on device"), and its log refused every write after the first failed one. When two
+    // other voters were lost 6.2 s later, only two of five could vote: there was no leader, and
+    // acknowledged routes reached no node.
     auto in = make_ready_cluster({.voters = 5});
     const std::size_t full = other_than(*in->leader());
     in->break_disk(full, fake_storage::fault::full);
@@ -409,7 +405,7 @@
     check_clean(*in);
 }
 
-// Guards against leases that end because voters wait for their disks.
+// Guards against leases that expire because voters wait for their disks.
 TEST_CASE("no key loses its owner while the disks of all voters stall") {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         CAPTURE(seed);
@@ -439,7 +435,8 @@
     }
 }
 
-// Guards against a candidate whose own disk is fast standing again before slower voters can answer.
+// Guards against a candidate with a fast disk that restarts the election before slower voters can
+// answer.
 TEST_CASE("a leader is elected though the disks of others are slow") {
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
         CAPTURE(seed);
--- a/tests/coordination/fuzz_actions.cpp
+++ b/tests/coordination/fuzz_actions.cpp
@@ -16,7 +16,8 @@
     "thaw_target",   "replace_voter", "burst",        "slow_links",
     "split",         "pause_leader",  "mend_disk",    "slow_disk"};
 
-/// How often each kind is drawn. Requests and time dominate, so that faults meet work.
+/// Relative frequency of each kind. Requests and waiting dominate, so that faults hit a cluster
+/// under load.
 constexpr std::array<unsigned int, action_kinds> weights{14, 6, 10, 3, 6, 3, 2, 2, 2, 1, 4,
                                                          4,  3, 3,  3, 2, 3, 3, 2, 1, 1, 2,
                                                          2,  1, 1,  1, 8, 5, 3, 3, 3, 3};
@@ -29,7 +30,7 @@
     in.resend(in.submissions() - 1 - key % requests, (node + 1) % 5);
 }
 
-/// Cuts one voter off from the others; every other node stays on a side drawn by `sides`.
+/// Partitions one voter from the others; `sides` assigns every other node to a side.
 void split(simulated_cluster &in, std::size_t voter, unsigned int sides) {
     const auto side = [&](std::size_t host) {
         return host < 3 ? host == voter : ((sides >> host) & 1U) != 0;
@@ -142,8 +143,8 @@
     return {in.violations(), in.steps(), in.answered(outcome::ran)};
 }
 
-/// Each sequence draws from a random half of the kinds, so that some sequences hold much of what
-/// would be rare among all kinds together ("swarm testing", Groce and others, 2012).
+/// Swarm testing (Groce et al., 2012): each sequence uses a random half of the kinds, so that some
+/// sequences contain many actions that would be rare among all kinds.
 rc::Gen<std::vector<action>> any_actions(voter_disks disks) {
     const std::size_t kinds = disks == voter_disks::written_behind
                                   ? weights.size()
--- a/tests/coordination/fuzz_actions.hpp
+++ b/tests/coordination/fuzz_actions.hpp
@@ -48,7 +48,7 @@
 
 inline constexpr int action_kinds = static_cast<int>(action_kind::slow_disk) + 1;
 
-/// One step of a sequence. The numbers mean what the kind makes of them.
+/// One step of a sequence. `kind` determines the meaning of `a` and `b`.
 struct action {
     action_kind kind = action_kind::wait;
     unsigned int a = 0;
@@ -57,28 +57,28 @@
 
 std::ostream &operator<<(std::ostream &out, const action &value);
 
-/// Does one step in the world.
+/// Executes one step.
 void perform(simulated_cluster &in, const action &value);
 
-/// A fresh world with a table in force and every key served, then all steps, then the checks.
-/// Yields the violations.
+/// Result of a sequence, which starts from a new cluster with a table in force and every key
+/// served, executes all steps and then runs the final checks.
 struct sequence_result {
     std::vector<std::string> violations;
     std::size_t steps = 0;
     std::size_t answered = 0;
 };
-/// Which disks the voters of a sequence have, and whether they become slow.
+/// How voters write to their disks in a sequence, and whether disks become slow.
 enum class voter_disks : std::uint8_t {
-    waited_for,    ///< voters stand still until a write is done, which takes no time
-    written_behind ///< voters go on meanwhile
+    waited_for,    ///< voters block until a write is done, which takes no time
+    written_behind ///< voters continue during a write
 };
 sequence_result run_sequence(std::uint64_t seed, const std::vector<action> &actions,
                              voter_disks disks = voter_disks::written_behind);
 
 rc::Gen<std::vector<action>> any_actions(voter_disks disks = voter_disks::written_behind);
-/// Slow disks and lost voters above all, so that crashes meet writes that are under way.
+/// Mostly slow disks and lost voters, so that crashes coincide with writes in progress.
 rc::Gen<std::vector<action>> disk_actions();
-/// The sequence that belongs to a seed; the same on every run.
+/// Generates the sequence of a seed; the same on every run.
 std::vector<action> disk_actions_of(std::uint64_t seed, int size);
 std::vector<action> actions_of(std::uint64_t seed, int size,
                                voter_disks disks = voter_disks::written_behind);
--- a/tests/coordination/fuzz_test.cpp
+++ b/tests/coordination/fuzz_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Seeded through RC_PARAMS, so that CI gives the same verdict on every run.
+/// Seeded through RC_PARAMS, so that CI runs are reproducible.
 bool holds_for(const std::string &name, const rc::Gen<std::vector<action>> &drawn) {
     std::size_t sequences = 0;
     std::size_t steps = 0;
--- a/tests/coordination/load_split_points_test.cpp
+++ b/tests/coordination/load_split_points_test.cpp
@@ -18,9 +18,9 @@
 } // namespace
 
 TEST_CASE("a busy neighbourhood is cut into parts of like load at once") {
-    // Symptom: for ten seconds a quarter of the lookups was refused while most targets were idle.
-    // Sequence: 200 neighbouring keys became busy; their range was halved, one half moved, the
-    // next half was measured, and so on. Cause: one cut a report.
+    // Guards against one split per load report. When 200 adjacent keys became busy, their range was
+    // halved, one half moved and the next half measured, again and again: for ten seconds a quarter
+    // of the lookups was refused while most targets were idle.
     const auto split_points = load_split_points(adjacent_keys(1000, 200, 2), 20, 31);
     REQUIRE(split_points.size() == 19);
     CHECK(split_points.front() == 1010);
--- a/tests/coordination/load_tracker_test.cpp
+++ b/tests/coordination/load_tracker_test.cpp
@@ -44,7 +44,7 @@
         tracker.record("s", 1, report(100, {{0, 1, {}}}), start);
         tracker.record("s", 2, report(300, {{0, 1, {}}}), start);
     }
-    tracker.record("s", 3, report(1, {{0, 1, {}}}), start); // one report says little yet
+    tracker.record("s", 3, report(1, {{0, 1, {}}}), start); // one report is not enough
     placement_view view;
     for (const target_number number : {1U, 2U, 3U}) {
         view.targets.push_back({.number = number, .weight = 1});
--- a/tests/coordination/parts_test.cpp
+++ b/tests/coordination/parts_test.cpp
@@ -101,14 +101,14 @@
     for (std::uint64_t id = 3; id < 9; ++id) {
         CHECK(offer(id, 7) == admission::verdict::queued);
     }
-    CHECK(offer(9, 7) == admission::verdict::refused); // one key may not have the whole queue
+    CHECK(offer(9, 7) == admission::verdict::refused); // one key can't fill the whole queue
     CHECK(offer(10, 8) == admission::verdict::queued);
     CHECK(offer(11, 9, 1us) == admission::verdict::refused); // can't finish in time
     std::vector<std::uint64_t> expired;
     gate.finish(1ms);
     CHECK(gate.next(start, expired) == 3);
     gate.finish(1ms);
-    CHECK(gate.next(start, expired) == 10); // the other key's turn
+    CHECK(gate.next(start, expired) == 10); // round robin: the other key is next
     gate.finish(1ms);
     CHECK_FALSE(gate.next(start + 2s, expired));
     CHECK(expired.size() == 5);
@@ -132,7 +132,7 @@
     CHECK(book.take_ended(start + 809ms) == std::vector<target_number>{3});
     CHECK(book.revoked(3));
     CHECK(book.take_ended(start + 2s).empty());
-    book.note_renewed(4, false, start); // a target that checks no tokens waits longer
+    book.note_renewed(4, false, start); // longer wait for a target that checks no tokens
     CHECK(book.ends_at(4) > start + 1100ms);
 }
 
@@ -176,9 +176,8 @@
 }
 
 TEST_CASE("a late or repeated map update changes nothing") {
-    // Symptom: a node goes back to an earlier owner. Sequence: two answers to renewals arrive in
-    // the wrong order. Cause it guards against: applying an update to a version it does not start
-    // from.
+    // Guards against applying an update to a version other than its base. Two renewal replies that
+    // arrive out of order would make the node return to an earlier owner.
     route_map map;
     const map_update whole{
         .from = 0, .to = 5, .services = {{"s", true, {{.first = 0, .owner = 1}}}}};
@@ -199,10 +198,9 @@
 }
 
 TEST_CASE("an update made of an older state than one already seen is refused") {
-    // Symptom: a range has two owners. Sequence: a node is told of a move with its own ranges,
-    // ahead of its turn, and finishes it; then an update that a replaced leader had made earlier
-    // arrives and fits the version held. Cause it guards against: judging updates by their versions
-    // alone.
+    // Guards against checking only the version of an update, which gives a range two owners. A node
+    // receives a move early, together with its own ranges, and completes it; then an older update
+    // from a deposed leader arrives whose base matches the version held.
     route_map map;
     map.apply(
         {.from = 0, .to = 5, .as_of = 5, .services = {{"s", true, {{.first = 0, .owner = 1}}}}});
@@ -214,8 +212,8 @@
 }
 
 TEST_CASE("a standby that lost its copy is sent everything before anything counts again") {
-    // Symptom: a resend runs again after a loss. Sequence: the standby answers that it does not
-    // hold the copy; a new key arrives. Cause it guards against: going on with single changes.
+    // Guards against sending single changes after the standby has reported that it holds no copy. A
+    // new key would then count as replicated, and a resend would run again after the owner is lost.
     standby_link link({});
     key_memory memory;
     std::vector<outgoing> sent;
@@ -262,7 +260,8 @@
 
 namespace {
 
-/// Four targets that do 100 requests a second each; the first has three times the load of others.
+/// Four targets with a capacity of 100 requests per second each; the first has three times the load
+/// of the others.
 placement_view uneven_load(const std::vector<range_record> &ranges, double rate_of_first) {
     placement_view view = view_of(ranges, 4);
     for (placement_target &target : view.targets) {
@@ -277,10 +276,9 @@
 } // namespace
 
 TEST_CASE("keys are moved for load only when a target has about as much as it can do") {
-    // Symptom: on a quiet day a hundredth of the lookups was refused or late. Sequence: loads
-    // differed by chance from one half second to the next; keys moved to and fro all the time, and
-    // were unserved for a heartbeat each time. Cause: any difference of a tenth was evened out,
-    // though no target was half full.
+    // Guards against moves between targets that are not busy. Under low load, random differences of
+    // a tenth made keys move back and forth all the time; each move left them unserved for a
+    // heartbeat, and a hundredth of the lookups was refused or late.
     const std::vector<range_record> ranges = even_ranges(64, 4);
     greedy_placement placement({.prior_rate = 1});
     CHECK(placement.decide(uneven_load(ranges, 50)).moves.empty());
--- a/tests/coordination/planted_defects_test.cpp
+++ b/tests/coordination/planted_defects_test.cpp
@@ -33,7 +33,7 @@
     {"resend run though its memory was lost", &planted_defects::rerun_forgotten},
 }};
 
-/// Of voters that go on while their disks write.
+/// Defects of write-behind logs.
 constexpr std::array<defect, 4> disk_defects{{
     {"vote given before it is on the disk", &planted_defects::vote_before_sync},
     {"term begun before the own vote is on the disk", &planted_defects::own_vote_before_sync},
@@ -41,14 +41,14 @@
     {"leader counts itself before its disk", &planted_defects::commit_before_sync},
 }};
 
-/// Of handing keys to targets by calls.
+/// Defects of granting and releasing keys by calls to targets.
 constexpr std::array<defect, 3> hold_defects{{
     {"late grant forgotten after a release", &planted_defects::forget_late_grant},
     {"hold length from the decision instead of the write", &planted_defects::hold_from_decision},
     {"keys given on when a release gets no answer", &planted_defects::release_timeout_frees},
 }};
 
-/// Of keeping requests that end targets from them.
+/// Defects of the quarantine of requests that crash targets.
 constexpr std::array<defect, 2> crash_defects{{
     {"answers do not clear a request", &planted_defects::ignore_answered},
     {"nodes do not follow a quarantine", &planted_defects::ignore_suspects},
@@ -61,7 +61,7 @@
 constexpr std::uint64_t most_sequences = 3000;
 constexpr int sequence_size = 120;
 
-/// Plays seeds with one defect after the other until the sequence yields a fault.
+/// Runs sequences of increasing seeds with each defect until one reports a violation.
 void check_caught(std::span<const defect> planted_ones,
                   const std::function<std::string(std::uint64_t)> &run) {
     for (const defect &planted : planted_ones) {
--- a/tests/coordination/ready_cluster.hpp
+++ b/tests/coordination/ready_cluster.hpp
@@ -7,7 +7,7 @@
 
 namespace peppertack::testing {
 
-/// A world with a table in force and every key served.
+/// Creates a cluster with a table in force and every key served.
 inline std::unique_ptr<simulated_cluster>
 make_ready_cluster(simulated_cluster::options settings = {}) {
     auto in = std::make_unique<simulated_cluster>(settings);
--- a/tests/coordination/simulated_cluster.cpp
+++ b/tests/coordination/simulated_cluster.cpp
@@ -90,7 +90,7 @@
         options.replication.initial.voters = {voters.begin(), voters.end()};
         options.replication.seed = m_random();
         options.entries_per_snapshot = 60;
-        options.max_items_per_update = 24; // so that updates come in parts here too
+        options.max_items_per_update = 24; // small, so that updates are split into parts
         item.voting = durable_voter::make(
             settings, *item.disk,
             [this](const audit_record &record) {
@@ -99,7 +99,8 @@
             },
             clock_of(item), reason);
         if (!item.voting) {
-            // With a broken disk it rightly refuses to start; else it lost what it had promised.
+            // Only a failing disk is a valid reason not to start; otherwise acknowledged data is
+            // lost.
             const bool refused = item.disk->fault_set() != fake_storage::fault::none &&
                                  reason.find(item.disk->last_reason()) != std::string::npos;
             if (!refused) {
@@ -125,19 +126,20 @@
 void simulated_cluster::note_decision(const audit_record &record) {
     const auto [place, added] = m_audit.try_emplace(record.sequence, record.hash);
     if (place->second != record.hash) {
-        violate("two voters hold different decisions number " + std::to_string(record.sequence));
+        violate("two voters hold different decisions with sequence " +
+                std::to_string(record.sequence));
     }
 }
 
-/// What a disk held that was only broken for a while must serve again.
+/// Lets the voter reopen a disk that has recovered: its contents must be usable again.
 void simulated_cluster::tend_disk(std::size_t index) {
     host &item = *m_hosts[index];
     take_disk_news(index, item.voting->tend_disk(clock_of(item)));
     start_disk_task(index);
 }
 
-/// A write reaches the disk at once or only at the end of its time: a crash in between leaves all
-/// of it or nothing.
+/// A write takes effect either at the start or at the end of its duration, so that a crash in
+/// between leaves all of it or nothing.
 void simulated_cluster::start_disk_task(std::size_t index) {
     host &item = *m_hosts[index];
     std::optional<durable_voter::disk_task> task =
@@ -166,7 +168,7 @@
     case durable_voter::disk_news::lost: break;
     case durable_voter::disk_news::back: item.changes.clear(); break;
     case durable_voter::disk_news::damaged:
-        violate("a voter gives up its disk: " + item.voting->last_reason());
+        violate("a voter reports its disk as damaged: " + item.voting->last_reason());
         break;
     }
 }
@@ -232,7 +234,7 @@
     schedule(announce_interval, index, [this, index] { announce(index); });
 }
 
-/// A term has at most one leader, or two histories could both be acknowledged.
+/// A term has at most one leader; otherwise two conflicting logs could both be acknowledged.
 void simulated_cluster::check_leader(std::size_t index) {
     const replica &log = m_hosts[index]->voting->core().replication();
     if (log.leads() && m_term_leaders.try_emplace(log.term(), index).first->second != index) {
@@ -256,7 +258,7 @@
             const change_answer &result = *answer.change;
             const auto [place, first] = m_change_answers.try_emplace(change_id, result);
             if (!first && place->second != result) {
-                violate("a resent table change got another answer than the first");
+                violate("a resent table change got a different result than the first");
             }
             if (result.error == error_kind::none) {
                 const auto [held, added] = m_accepted.try_emplace(result.version, change_id);
@@ -264,7 +266,7 @@
                 m_accepted_term.try_emplace(result.version,
                                             item.voting->core().replication().term());
                 if (held->second != change_id) {
-                    violate("two changes were told that they won the same version");
+                    violate("two table changes were accepted under the same version");
                 }
             }
         }
@@ -341,7 +343,7 @@
 // ---- targets ----
 
 void simulated_cluster::start_call(std::size_t index, const target_call &call) {
-    // Time between the decision and the write, in which the process may be paused.
+    // Delay between the decision and the write, during which the process may be paused.
     schedule(duration(m_random() % 2000), index, [this, index, call] { write_call(index, call); });
 }
 
@@ -375,7 +377,8 @@
         return;
     }
     if (item.target.frozen) {
-        // It has the bytes and goes on with them when it wakes, whatever happened meanwhile.
+        // The target has received the request and runs it when it thaws, whatever happened
+        // meanwhile.
         schedule(duration(20'000), index,
                  [this, index, call, target_life] { run_at_target(index, call, target_life); });
         return;
@@ -402,10 +405,10 @@
         const std::string &key = m_submissions[found->second].idempotency_key;
         const std::string identity = key.empty() ? name : key;
         if (++m_runs_by_key[identity] > 1) {
-            violate("a request that may run once ran twice: " + identity);
+            violate("a request that may run only once ran twice: " + identity);
         }
     }
-    // A resend under the same key is answered with what the first attempt gave.
+    // A resend under the same key gets the answer of the first attempt.
     result.body = std::make_shared<const std::string>("answer to " + name);
     result.headers.push_back({"Echo-Key", call.request.idempotency_key});
     end_call(index, call.call, result);
@@ -444,7 +447,7 @@
     item.deadline = m_now + deadline;
     m_submissions.push_back(item);
     if (!at.alive || at.paused || !at.node) {
-        m_submissions.back().node_life = 0; // nobody took it: no answer is owed
+        m_submissions.back().node_life = 0; // not accepted by any node, so no answer is due
         return number;
     }
     caller_request request;
@@ -495,7 +498,7 @@
 void simulated_cluster::take_answer(const caller_answer &answer, host &at) {
     const auto found = at.tickets.find(answer.ticket);
     if (found == at.tickets.end()) {
-        violate("an answer for a request that nobody waits for");
+        violate("an answer for a request that is not pending");
         return;
     }
     submission &item = m_submissions[found->second];
@@ -510,21 +513,21 @@
     if (response.result == outcome::ran && response.status == 200) {
         const std::string wanted = "answer to " + item.body();
         if (!response.body || *response.body != wanted) {
-            violate("request " + item.name + " got an answer that is not its own");
+            violate("request " + item.name + " got the answer of another request");
         }
         if (runs == 0) {
-            violate("request " + item.name + " was said to have run and did not");
+            violate("request " + item.name + " was reported as run but did not run");
         }
     }
     const bool first_try = item.idempotency_key.empty() || m_by_name[item.name] + 1 > 0;
     if (response.result == outcome::not_run && first_try && item.kind != request_kind::read &&
         &m_submissions[m_by_name[item.name]] == &item && runs != 0) {
-        // Only the first submission under a name: a refused resend says nothing of the first.
+        // Only the first submission under a name: a refused resend says nothing about the first.
         const bool resent =
             std::count_if(m_submissions.begin(), m_submissions.end(),
                           [&](const submission &other) { return other.name == item.name; }) > 1;
         if (!resent) {
-            violate("request " + item.name + " was said not to have run and did");
+            violate("request " + item.name + " was reported as not run but ran");
         }
     }
 }
@@ -599,7 +602,7 @@
     item.voting.reset();
     item.node.reset();
     item.disk->crash(m_random);
-    item.target.life++; // its node is gone: what runs there ends without an answer
+    item.target.life++; // its node is gone: running requests end without an answer
 }
 
 void simulated_cluster::restart(std::size_t index) {
@@ -713,7 +716,8 @@
     return std::nullopt;
 }
 
-/// A key has at most one owner, paused and cut-off ones included: on waking they look at the clock.
+/// A key has at most one owner. Paused and unreachable nodes count too: they check their lease
+/// against the clock when they resume.
 void simulated_cluster::check_owners() {
     constexpr std::uint64_t samples = 32;
     for (std::uint64_t i = 0; i < samples; ++i) {
@@ -742,13 +746,13 @@
         }
         const lease_client &lease = item.node->lease();
         if (lease.table_version() < item.table_seen) {
-            violate("a node went back to an earlier table");
+            violate("a node replaced its table by an earlier one");
         }
         item.table_seen = lease.table_version();
         for (const auto &[version, at] : m_accepted_at) {
             if (at + in_force_limit < m_now && lease.table_version() < version &&
                 lease.lease_valid(clock_of(item).now)) {
-                violate("a node serves without a table accepted 8 s ago");
+                violate("a node serves without a table that was accepted more than 8 s ago");
             }
         }
     }
@@ -762,14 +766,14 @@
         const control_state &state = item->voting->core().state();
         const auto known = m_accepted.find(state.table_version());
         if (known != m_accepted.end() && known->second != state.table_change_id()) {
-            violate("a voter holds another table under an accepted version");
+            violate("a voter holds a different table under an accepted version");
         }
         const auto hash = m_audit.find(state.audit().sequence);
         if (hash != m_audit.end() && hash->second != state.audit().hash) {
-            violate("a voter's decisions differ from those of another");
+            violate("a voter's decisions differ from another voter's");
         }
         for (const auto &[version, term] : m_accepted_term) {
-            // A leader of an earlier term that does not know yet that it was replaced may lack it.
+            // A deposed leader of an earlier term may lack the table.
             const bool later = item->voting->core().replication().term() >= term;
             if (item->voting->core().established() && later && state.table_version() < version) {
                 violate("a leader lacks an accepted table");
@@ -782,7 +786,7 @@
     for (const submission &item : m_submissions) {
         const host &at = *m_hosts[item.node];
         const bool owed = item.node_life == at.life && at.alive && !at.paused;
-        // A paused process answers late; what it had to do then is in its queue.
+        // A paused process answers late: its deferred events run after the pause.
         if (owed && !item.answer &&
             item.deadline + answer_slack + std::chrono::seconds(1) < m_now && at.deferred.empty()) {
             violate("request " + item.name + " got no answer long after its deadline");
@@ -814,7 +818,7 @@
         item.target.up = true;
     }
     run(std::chrono::seconds(4));
-    // Targets whose planned stop is done are switched off and on, as an operator would.
+    // Hosts whose targets have finished a planned stop are restarted, as by an operator.
     for (std::size_t i = 0; i < m_options.nodes; ++i) {
         if (m_hosts[i]->node && m_hosts[i]->node->lease().number() == no_target) {
             crash(i);
@@ -850,7 +854,7 @@
     check_final();
 }
 
-// ---- what tests look at ----
+// ---- state for assertions ----
 
 const std::optional<caller_response> &simulated_cluster::answer(std::size_t number) const {
     return m_submissions[number].answer;
--- a/tests/coordination/simulated_cluster.hpp
+++ b/tests/coordination/simulated_cluster.hpp
@@ -14,38 +14,39 @@
 
 namespace peppertack::testing {
 
-/// A handful of voters, nodes and targets on a fake network, with fake disks and clocks, in virtual
-/// time. After each event an oracle checks what must always hold and notes violations.
+/// Deterministic simulation of a small cluster: voters, nodes and targets on a simulated network,
+/// with simulated disks and clocks, in virtual time. An oracle checks the invariants while it runs
+/// and records violations.
 class simulated_cluster {
 public:
     struct options {
         std::uint64_t seed = 1;
         std::size_t voters = 3;
-        std::size_t nodes = 5;  ///< the first ones run the voters too
-        std::size_t spares = 1; ///< voters-to-be
+        std::size_t nodes = 5;  ///< the first `voters` hosts also run a voter
+        std::size_t spares = 1; ///< hosts that can replace a lost voter
         bool second_service = true;
         bool checks_tokens = true;
-        /// Voters go on while their disks write, as those of the product do.
+        /// Voters continue while their disks write, as in production.
         bool write_behind = true;
     };
 
     explicit simulated_cluster(options settings);
     ~simulated_cluster();
 
-    // ---- what operators, callers and faults do ----
+    // ---- actions of operators and callers, and faults ----
     void run(duration time);
     enum class request_kind : std::uint8_t { read, once, once_without_key };
-    /// Yields the number of the submission.
+    /// Returns the number of the submission.
     std::size_t submit(std::size_t node, unsigned int key, request_kind kind,
                        duration deadline = std::chrono::milliseconds(2000));
-    /// Sends a request for a content that is asked for again and again. The content
-    /// `crashing_content` ends each target that runs it.
+    /// Sends a request with the given body, which other requests may share. A target that runs
+    /// `crashing_content` crashes.
     std::size_t submit_content(std::size_t node, unsigned int key, const std::string &content,
                                duration deadline = std::chrono::milliseconds(2000));
     static constexpr const char *crashing_content = "crash";
-    /// When targets ended under it, in order.
+    /// Times at which targets crashed on `crashing_content`, in order.
     const std::vector<instant> &crashes() const { return m_crashes; }
-    /// Sends an earlier request that may run once again, under the same idempotency key.
+    /// Sends an earlier request of kind `once` again, under the same idempotency key.
     void resend(std::size_t submission, std::size_t node);
     void change_table(std::size_t voter, std::uint64_t base_version, const std::string &change_id,
                       double weight);
@@ -59,23 +60,24 @@
     void heal_network();
     void silence(std::size_t a, std::size_t b);
     void set_losses(unsigned int drop_percent, unsigned int duplicate_percent);
-    /// One message in five is late by up to `most`.
+    /// One message in five is delayed by up to `most`.
     void set_slowness(duration most) { m_slowness = most; }
     void break_disk(std::size_t voter, fake_storage::fault fault);
-    /// How long each write to the voter's disk takes from now on.
+    /// Sets the duration of each later write to the voter's disk.
     void set_sync_time(std::size_t voter, duration time) { m_hosts[voter]->sync_time = time; }
     void set_clock_rate(std::size_t host, double rate);
     void crash_target(std::size_t node);
     void start_target(std::size_t node);
     void freeze_target(std::size_t node);
     void thaw_target(std::size_t node);
-    /// The voter and its disk are lost for good; a spare takes its place.
+    /// Removes the voter and its disk permanently; a spare takes its place.
     void replace_voter(std::size_t voter);
 
-    /// Ends every fault and gives the system time; then checks that all is served and in force.
+    /// Ends every fault and lets the cluster recover; then checks that every key is served and
+    /// every accepted table is in force.
     void heal_and_check_progress();
 
-    // ---- what tests look at ----
+    // ---- state for assertions ----
     const std::vector<std::string> &violations() const { return m_violations; }
     std::optional<std::size_t> leader() const;
     std::size_t hosts() const { return m_hosts.size(); }
@@ -120,16 +122,17 @@
         instant rate_since{};
         std::uint64_t life = 0;
         std::uint64_t table_seen = 0;
-        std::map<std::uint64_t, std::size_t> tickets; ///< of the node: submission
+        std::map<std::uint64_t, std::size_t> tickets; ///< of the node, to submission numbers
         std::set<std::uint64_t> cancelled;
-        std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> changes; ///< of the control
-        std::vector<std::function<void()>> deferred; ///< events that wait for the end of a pause
+        std::map<std::uint64_t, std::pair<std::string, std::uint64_t>>
+            changes;                                 ///< of the control plane
+        std::vector<std::function<void()>> deferred; ///< events held back until a pause ends
     };
     struct event {
         instant at{};
         std::uint64_t order = 0;
         std::size_t host = 0;
-        std::uint64_t life = 0; ///< void if the host has restarted since
+        std::uint64_t life = 0; ///< the event is dropped if the host has restarted since
         std::function<void()> act;
         bool operator>(const event &other) const {
             return std::tie(at, order) > std::tie(other.at, other.order);
@@ -138,11 +141,11 @@
     struct submission {
         std::size_t node = 0;
         std::uint64_t node_life = 0;
-        std::string name; ///< unique; travels in the body
+        std::string name; ///< unique; sent as the body
         std::string idempotency_key;
         unsigned int key = 0;
         request_kind kind = request_kind::read;
-        std::string content; ///< body, if that is not the name
+        std::string content; ///< body, if it differs from the name
         const std::string &body() const { return content.empty() ? name : content; }
         instant deadline{};
         std::optional<caller_response> answer;
@@ -184,7 +187,8 @@
 
     options m_options;
     std::mt19937_64 m_random;
-    std::mt19937_64 m_disk_random; ///< apart, so that disks don't change what else is drawn
+    std::mt19937_64
+        m_disk_random; ///< separate, so that disk writes don't change other random choices
     instant m_now = instant(std::chrono::seconds(1000));
     std::uint64_t m_order = 0;
     std::size_t m_steps = 0;
@@ -200,12 +204,12 @@
     std::map<std::string, std::size_t> m_by_name;
     std::map<std::string, std::size_t> m_runs_by_submission;
     std::map<std::string, std::size_t> m_runs_by_key;
-    std::map<std::uint64_t, std::string> m_accepted; ///< table version: its change id
+    std::map<std::uint64_t, std::string> m_accepted; ///< change id by table version
     std::map<std::uint64_t, instant> m_accepted_at;
     std::map<std::uint64_t, std::uint64_t> m_accepted_term;
     std::map<std::string, change_answer> m_change_answers;
     std::map<std::string, double> m_change_weights;
-    std::map<std::uint64_t, std::string> m_audit; ///< sequence: hash
+    std::map<std::uint64_t, std::string> m_audit; ///< hash by sequence
     std::map<std::uint64_t, std::size_t> m_term_leaders;
     std::vector<std::string> m_violations;
 };
