--- a/tests/coordination/crash_fuzz.cpp
+++ b/tests/coordination/crash_fuzz.cpp
@@ -134,8 +134,8 @@
     all->run(duration(random() % 400'000));
     for (std::size_t host = 0; host < all->hosts(); ++host) {
         if (host != *leader && all->has_control(host)) {
-            all->cut(*leader, host);
-            all->cut(host, *leader);
+            all->block_link(*leader, host);
+            all->block_link(host, *leader);
         }
     }
     all->run(1500ms);
--- a/tests/coordination/fuzz_actions.cpp
+++ b/tests/coordination/fuzz_actions.cpp
@@ -22,30 +22,31 @@
                                                          4,  3, 3,  3, 2, 3, 3, 2, 1, 1, 2,
                                                          2,  1, 1,  1, 8, 5, 3, 3, 3, 3};
 
-void burst(simulated_cluster &in, unsigned int key, unsigned int node) {
+void burst(simulated_cluster &cluster, unsigned int key, unsigned int node) {
     constexpr unsigned int requests = 6;
     for (unsigned int i = 0; i < requests; ++i) {
-        in.submit((node + i) % 5, (key + i / 2) % 12, simulated_cluster::request_kind::once);
+        cluster.submit((node + i) % 5, (key + i / 2) % 12, simulated_cluster::request_kind::once);
     }
-    in.resend(in.submissions() - 1 - key % requests, (node + 1) % 5);
+    cluster.resend(cluster.submissions() - 1 - key % requests, (node + 1) % 5);
 }
 
 /// Partitions one voter from the others; `sides` assigns every other node to a side.
-void split(simulated_cluster &in, std::size_t voter, unsigned int sides) {
+void split(simulated_cluster &cluster, std::size_t voter, unsigned int sides) {
     const auto side = [&](std::size_t host) {
         return host < 3 ? host == voter : ((sides >> host) & 1U) != 0;
     };
-    for (std::size_t a = 0; a < in.hosts(); ++a) {
-        for (std::size_t b = 0; b < in.hosts(); ++b) {
+    for (std::size_t a = 0; a < cluster.hosts(); ++a) {
+        for (std::size_t b = 0; b < cluster.hosts(); ++b) {
             if (side(a) != side(b)) {
-                in.cut(a, b);
+                cluster.block_link(a, b);
             }
         }
     }
 }
 
-void change(simulated_cluster &in, unsigned int voter, unsigned int number, std::uint64_t base) {
-    in.change_table(voter, base, "change-" + std::to_string(number), 1 + number % 5);
+void change(simulated_cluster &cluster, unsigned int voter, unsigned int number,
+            std::uint64_t base) {
+    cluster.change_table(voter, base, "change-" + std::to_string(number), 1 + number % 5);
 }
 
 } // namespace
@@ -55,92 +56,96 @@
                << value.b << "}";
 }
 
-void perform(simulated_cluster &in, const action &value) {
+void perform(simulated_cluster &cluster, const action &value) {
     constexpr std::size_t nodes = 5;
     constexpr std::size_t voters = 3;
     const std::size_t node = value.a % nodes;
     const std::size_t other = value.b % nodes;
-    const std::uint64_t accepted = in.accepted_version();
-    const auto leading = static_cast<unsigned int>(in.leader().value_or(0));
+    const std::uint64_t accepted = cluster.accepted_version();
+    const auto leading = static_cast<unsigned int>(cluster.leader().value_or(0));
     switch (value.kind) {
     case action_kind::wait:
-        in.run(std::chrono::milliseconds(1 + value.a % 40 * (value.b % 3 == 0 ? 40 : 4)));
+        cluster.run(std::chrono::milliseconds(1 + value.a % 40 * (value.b % 3 == 0 ? 40 : 4)));
         break;
     case action_kind::read:
-        in.submit(node, value.b % 12, simulated_cluster::request_kind::read);
+        cluster.submit(node, value.b % 12, simulated_cluster::request_kind::read);
         break;
     case action_kind::once:
-        in.submit(node, value.b % 12, simulated_cluster::request_kind::once);
+        cluster.submit(node, value.b % 12, simulated_cluster::request_kind::once);
         break;
     case action_kind::once_without_key:
-        in.submit(node, value.b % 12, simulated_cluster::request_kind::once_without_key);
+        cluster.submit(node, value.b % 12, simulated_cluster::request_kind::once_without_key);
         break;
     case action_kind::resend:
-        in.resend(value.b % 3 == 0 ? value.b : in.submissions() - 1 - value.b % 20, node);
+        cluster.resend(value.b % 3 == 0 ? value.b : cluster.submissions() - 1 - value.b % 20, node);
         break;
-    case action_kind::change_table: change(in, leading, value.b, accepted); break;
+    case action_kind::change_table: change(cluster, leading, value.b, accepted); break;
     case action_kind::race_tables:
-        change(in, leading, value.b, accepted);
-        change(in, leading, value.b + 1, accepted);
+        change(cluster, leading, value.b, accepted);
+        change(cluster, leading, value.b + 1, accepted);
         break;
-    case action_kind::resend_change: change(in, leading, value.b, value.a % 4); break;
-    case action_kind::announce_stop: in.announce_stop(node); break;
-    case action_kind::begin_stop: in.begin_stop(node); break;
-    case action_kind::crash: in.crash(node); break;
-    case action_kind::restart: in.restart(node); break;
-    case action_kind::pause: in.pause(node); break;
-    case action_kind::resume: in.resume(node); break;
-    case action_kind::cut: in.cut(node, other); break;
+    case action_kind::resend_change: change(cluster, leading, value.b, value.a % 4); break;
+    case action_kind::announce_stop: cluster.announce_stop(node); break;
+    case action_kind::begin_stop: cluster.begin_stop(node); break;
+    case action_kind::crash: cluster.crash(node); break;
+    case action_kind::restart: cluster.restart(node); break;
+    case action_kind::pause: cluster.pause(node); break;
+    case action_kind::resume: cluster.resume(node); break;
+    case action_kind::cut: cluster.block_link(node, other); break;
     case action_kind::isolate:
-        for (std::size_t i = 0; i < in.hosts(); ++i) {
-            in.cut(node, i);
-            in.cut(i, node);
+        for (std::size_t i = 0; i < cluster.hosts(); ++i) {
+            cluster.block_link(node, i);
+            cluster.block_link(i, node);
         }
         break;
-    case action_kind::heal: in.heal_network(); break;
-    case action_kind::silence: in.silence(node, other); break;
-    case action_kind::losses: in.set_losses(value.a % 30, value.b % 30); break;
+    case action_kind::heal: cluster.heal_network(); break;
+    case action_kind::silence: cluster.silence_connection(node, other); break;
+    case action_kind::losses: cluster.set_message_faults(value.a % 30, value.b % 30); break;
     case action_kind::break_disk:
-        in.break_disk(value.a % voters, value.b % 2 == 0 ? fake_storage::fault::full
-                                                         : fake_storage::fault::sync_fails);
+        cluster.break_disk(value.a % voters, value.b % 2 == 0 ? fake_storage::fault::full
+                                                              : fake_storage::fault::sync_fails);
         break;
-    case action_kind::clock_rate: in.set_clock_rate(node, 0.996 + 0.0008 * (value.b % 11)); break;
-    case action_kind::crash_target: in.crash_target(node); break;
-    case action_kind::start_target: in.start_target(node); break;
-    case action_kind::freeze_target: in.freeze_target(node); break;
-    case action_kind::thaw_target: in.thaw_target(node); break;
-    case action_kind::replace_voter: in.replace_voter(value.a % voters); break;
-    case action_kind::burst: burst(in, value.b, value.a); break;
+    case action_kind::clock_rate:
+        cluster.set_clock_rate(node, 0.996 + 0.0008 * (value.b % 11));
+        break;
+    case action_kind::crash_target: cluster.crash_target(node); break;
+    case action_kind::start_target: cluster.start_target(node); break;
+    case action_kind::freeze_target: cluster.freeze_target(node); break;
+    case action_kind::thaw_target: cluster.thaw_target(node); break;
+    case action_kind::replace_voter: cluster.replace_voter(value.a % voters); break;
+    case action_kind::burst: burst(cluster, value.b, value.a); break;
     case action_kind::slow_links:
-        in.set_slowness(std::chrono::milliseconds(value.a % 4 * 300));
+        cluster.set_max_extra_delay(std::chrono::milliseconds(value.a % 4 * 300));
+        break;
+    case action_kind::split: split(cluster, leading, value.b); break;
+    case action_kind::pause_leader: cluster.pause(leading); break;
+    case action_kind::mend_disk:
+        cluster.break_disk(value.a % voters, fake_storage::fault::none);
         break;
-    case action_kind::split: split(in, leading, value.b); break;
-    case action_kind::pause_leader: in.pause(leading); break;
-    case action_kind::mend_disk: in.break_disk(value.a % voters, fake_storage::fault::none); break;
     case action_kind::slow_disk:
-        in.set_sync_time(value.a % voters, std::chrono::milliseconds(1 + value.b % 4 * 300));
+        cluster.set_sync_time(value.a % voters, std::chrono::milliseconds(1 + value.b % 4 * 300));
         break;
     }
 }
 
 sequence_result run_sequence(std::uint64_t seed, const std::vector<action> &actions,
                              voter_disks disks) {
-    simulated_cluster in({.seed = seed, .write_behind = disks == voter_disks::written_behind});
-    in.run(std::chrono::milliseconds(1200));
-    if (const auto leading = in.leader()) {
-        in.change_table(*leading, 0, "change-first", 1);
+    simulated_cluster cluster({.seed = seed, .write_behind = disks == voter_disks::written_behind});
+    cluster.run(std::chrono::milliseconds(1200));
+    if (const auto leading = cluster.leader()) {
+        cluster.change_table(*leading, 0, "change-first", 1);
     }
-    in.run(std::chrono::milliseconds(2500));
+    cluster.run(std::chrono::milliseconds(2500));
     for (const action &value : actions) {
-        perform(in, value);
-        if (!in.violations().empty()) {
+        perform(cluster, value);
+        if (!cluster.violations().empty()) {
             break;
         }
     }
-    if (in.violations().empty()) {
-        in.heal_and_check_progress();
+    if (cluster.violations().empty()) {
+        cluster.heal_and_check_progress();
     }
-    return {in.violations(), in.steps(), in.answered(outcome::ran)};
+    return {cluster.violations(), cluster.steps(), cluster.answered(outcome::ran)};
 }
 
 /// Swarm testing (Groce et al., 2012): each sequence uses a random half of the kinds, so that some
--- a/tests/coordination/fuzz_actions.hpp
+++ b/tests/coordination/fuzz_actions.hpp
@@ -58,7 +58,7 @@
 std::ostream &operator<<(std::ostream &out, const action &value);
 
 /// Executes one step.
-void perform(simulated_cluster &in, const action &value);
+void perform(simulated_cluster &cluster, const action &value);
 
 /// Result of a sequence, which starts from a new cluster with a table in force and every key
 /// served, executes all steps and then runs the final checks.
--- a/tests/coordination/simulated_cluster.cpp
+++ b/tests/coordination/simulated_cluster.cpp
@@ -629,7 +629,7 @@
     }
 }
 
-void simulated_cluster::cut(std::size_t from, std::size_t to) {
+void simulated_cluster::block_link(std::size_t from, std::size_t to) {
     m_cuts.insert({from, to});
 }
 
@@ -641,12 +641,13 @@
     m_duplicate_percent = 0;
 }
 
-void simulated_cluster::silence(std::size_t a, std::size_t b) {
+void simulated_cluster::silence_connection(std::size_t a, std::size_t b) {
     m_silent.insert({a, b});
     m_silent.insert({b, a});
 }
 
-void simulated_cluster::set_losses(unsigned int drop_percent, unsigned int duplicate_percent) {
+void simulated_cluster::set_message_faults(unsigned int drop_percent,
+                                           unsigned int duplicate_percent) {
     m_drop_percent = drop_percent;
     m_duplicate_percent = duplicate_percent;
 }
@@ -872,7 +873,7 @@
         }));
 }
 
-double simulated_cluster::served_share() const {
+double simulated_cluster::served_fraction() const {
     constexpr unsigned int keys = 60;
     unsigned int served = 0;
     for (unsigned int key = 0; key < keys; ++key) {
--- a/tests/coordination/simulated_cluster.hpp
+++ b/tests/coordination/simulated_cluster.hpp
@@ -56,12 +56,12 @@
     void restart(std::size_t host);
     void pause(std::size_t host);
     void resume(std::size_t host);
-    void cut(std::size_t from, std::size_t to);
+    void block_link(std::size_t from, std::size_t to);
     void heal_network();
-    void silence(std::size_t a, std::size_t b);
-    void set_losses(unsigned int drop_percent, unsigned int duplicate_percent);
+    void silence_connection(std::size_t a, std::size_t b);
+    void set_message_faults(unsigned int drop_percent, unsigned int duplicate_percent);
     /// One message in five is delayed by up to `most`.
-    void set_slowness(duration most) { m_slowness = most; }
+    void set_max_extra_delay(duration most) { m_slowness = most; }
     void break_disk(std::size_t voter, fake_storage::fault fault);
     /// Sets the duration of each later write to the voter's disk.
     void set_sync_time(std::size_t voter, duration time) { m_hosts[voter]->sync_time = time; }
@@ -94,7 +94,7 @@
     instant now() const { return m_now; }
     std::size_t answered(outcome result) const;
     std::size_t submissions() const { return m_submissions.size(); }
-    double served_share() const;
+    double served_fraction() const;
 
 private:
     static constexpr duration usual_sync_time = std::chrono::milliseconds(1);
