--- a/tests/coordination/failures_test.cpp
+++ b/tests/coordination/failures_test.cpp
@@ -10,17 +10,17 @@
 
 constexpr std::size_t nodes = 5;
 
-void check_clean(simulated_cluster &cluster) {
+void check_recovery(simulated_cluster &cluster) {
     cluster.heal_and_check_progress();
     CHECK(cluster.violations() == std::vector<std::string>{});
 }
 
-std::size_t other_than(std::size_t host) {
+std::size_t next_host(std::size_t host) {
     return (host + 1) % nodes;
 }
 
 /// Returns a key whose owner is not the leader's host, and that owner.
-std::pair<unsigned int, std::size_t> key_beyond_leader(simulated_cluster &cluster) {
+std::pair<unsigned int, std::size_t> key_not_on_leader(simulated_cluster &cluster) {
     for (unsigned int key = 0; key < 60; ++key) {
         const auto owner = cluster.owner_of(key);
         if (owner && owner != cluster.leader()) {
@@ -38,7 +38,7 @@
     // The owner's node is partitioned in both directions while it has requests, and another takes
     // over its keys: two servers would act on one key.
     auto cluster = make_ready_cluster();
-    const auto [key, owner] = key_beyond_leader(*cluster);
+    const auto [key, owner] = key_not_on_leader(*cluster);
     for (std::size_t i = 0; i < cluster->hosts(); ++i) {
         cluster->block_link(owner, i);
         cluster->block_link(i, owner);
@@ -47,10 +47,10 @@
         cluster->submit(owner, key, simulated_cluster::request_kind::once, 300ms);
         cluster->run(50ms);
     }
-    const auto taken_by = cluster->owner_of(key);
-    REQUIRE(taken_by);
-    CHECK(*taken_by != owner);
-    check_clean(*cluster);
+    const auto new_owner = cluster->owner_of(key);
+    REQUIRE(new_owner);
+    CHECK(*new_owner != owner);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a leader is cut off from the voters but not from some nodes") {
@@ -73,7 +73,7 @@
     const auto now = cluster->leader();
     REQUIRE(now);
     CHECK(cluster->control(leader).established() == false);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a control instance is cut off for a long time and returns") {
@@ -81,10 +81,10 @@
     // the network heals: its stale log must not win an election, and its state must not reach
     // nodes.
     auto cluster = make_ready_cluster();
-    const std::size_t away = (*cluster->leader() + 1) % 3;
+    const std::size_t isolated = (*cluster->leader() + 1) % 3;
     for (std::size_t i = 0; i < cluster->hosts(); ++i) {
-        cluster->block_link(away, i);
-        cluster->block_link(i, away);
+        cluster->block_link(isolated, i);
+        cluster->block_link(i, isolated);
     }
     for (int i = 0; i < 100; ++i) {
         cluster->change_table(*cluster->leader(), cluster->accepted_version(),
@@ -95,26 +95,26 @@
     CHECK(accepted > 90);
     cluster->heal_network();
     cluster->run(3s);
-    CHECK(cluster->control(away).state().table_version() >= accepted);
-    check_clean(*cluster);
+    CHECK(cluster->control(isolated).state().table_version() >= accepted);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a process restarts after hundreds of changes were made while it was away") {
     // Guards against requesting log entries that no voter holds any more. A voter's host is down
     // while changes are made and compacted; the voter or node would never catch up.
     auto cluster = make_ready_cluster();
-    const std::size_t away = (*cluster->leader() + 1) % 3;
-    cluster->crash(away);
+    const std::size_t isolated = (*cluster->leader() + 1) % 3;
+    cluster->crash(isolated);
     for (int i = 0; i < 300; ++i) {
         cluster->change_table(*cluster->leader(), cluster->accepted_version(),
                               "change-" + std::to_string(i), 1 + i % 3);
         cluster->run(30ms);
     }
-    cluster->restart(away);
+    cluster->restart(isolated);
     cluster->run(3s);
-    CHECK(cluster->control(away).state().table_version() == cluster->accepted_version());
-    CHECK(cluster->node(away).lease().table_version() == cluster->accepted_version());
-    check_clean(*cluster);
+    CHECK(cluster->control(isolated).state().table_version() == cluster->accepted_version());
+    CHECK(cluster->node(isolated).lease().table_version() == cluster->accepted_version());
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a node is paused with a request on its way to the target") {
@@ -122,14 +122,14 @@
     // between the decision to call the target and the write until its lease has expired; the
     // request would be written after another server took over the key.
     auto cluster = make_ready_cluster();
-    const auto [key, owner] = key_beyond_leader(*cluster);
+    const auto [key, owner] = key_not_on_leader(*cluster);
     const std::size_t number = cluster->submit(owner, key, simulated_cluster::request_kind::once);
     cluster->pause(owner);
     cluster->run(2500ms);
     cluster->resume(owner);
     cluster->run(500ms);
     CHECK(cluster->runs_of(number) <= 1);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a frozen target returns as if nothing had happened") {
@@ -137,18 +137,18 @@
     // unknown. A target freezes with a request in progress, its keys are reassigned, the caller
     // resends, and the target resumes and finishes: a payment would run twice.
     auto cluster = make_ready_cluster();
-    const auto [key, owner] = key_beyond_leader(*cluster);
+    const auto [key, owner] = key_not_on_leader(*cluster);
     const std::size_t number =
-        cluster->submit(other_than(owner), key, simulated_cluster::request_kind::once);
+        cluster->submit(next_host(owner), key, simulated_cluster::request_kind::once);
     cluster->run(4ms);
     cluster->freeze_target(owner);
     cluster->run(3s);
-    cluster->resend(number, other_than(owner));
+    cluster->resend(number, next_host(owner));
     cluster->run(1s);
     cluster->thaw_target(owner);
     cluster->run(1s);
     CHECK(cluster->runs_of(number) <= 1);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a connection is silent for good while new ones work") {
@@ -156,8 +156,8 @@
     // open connection is lost in both directions while new connections work; the caller would wait
     // until its deadline although owner and network are healthy.
     auto cluster = make_ready_cluster();
-    const auto [key, owner] = key_beyond_leader(*cluster);
-    const std::size_t asked = other_than(owner);
+    const auto [key, owner] = key_not_on_leader(*cluster);
+    const std::size_t asked = next_host(owner);
     cluster->silence_connection(asked, owner);
     const std::size_t read = cluster->submit(asked, key, simulated_cluster::request_kind::read);
     const std::size_t once = cluster->submit(asked, key, simulated_cluster::request_kind::once);
@@ -167,7 +167,7 @@
     CHECK(cluster->answer(read)->result == outcome::ran);
     CHECK(cluster->answer(once)->result == outcome::ran);
     CHECK(cluster->runs_of(once) == 1);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("an owner is lost after a payment: the resend gets the first answer") {
@@ -175,8 +175,8 @@
     // instance is lost, and the caller resends to another node: the payment would run twice.
     auto cluster = make_ready_cluster();
     cluster->run(1s);
-    const auto [key, owner] = key_beyond_leader(*cluster);
-    const std::size_t asked = other_than(owner);
+    const auto [key, owner] = key_not_on_leader(*cluster);
+    const std::size_t asked = next_host(owner);
     const std::size_t number = cluster->submit(asked, key, simulated_cluster::request_kind::once);
     cluster->run(200ms);
     REQUIRE(cluster->answer(number));
@@ -189,7 +189,7 @@
     CHECK(cluster->answer(again)->result == outcome::ran);
     CHECK(*cluster->answer(again)->body == *cluster->answer(number)->body);
     CHECK(cluster->runs_of(number) == 1);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a second instance is lost right after the first was repaired") {
@@ -198,7 +198,7 @@
     // would run twice.
     auto cluster = make_ready_cluster();
     cluster->run(1s);
-    const auto [key, owner] = key_beyond_leader(*cluster);
+    const auto [key, owner] = key_not_on_leader(*cluster);
     const std::size_t asked = *cluster->leader();
     const std::size_t number = cluster->submit(asked, key, simulated_cluster::request_kind::once);
     cluster->run(200ms);
@@ -216,7 +216,7 @@
     cluster->resend(number, asked);
     cluster->run(500ms);
     CHECK(cluster->runs_of(number) == 1);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a voter and its disk are lost, replaced, and another voter is lost after") {
@@ -235,7 +235,7 @@
     cluster->run(3s);
     REQUIRE(cluster->leader());
     CHECK(cluster->control(*cluster->leader()).state().table_version() == accepted);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("the leader's disk fails") {
@@ -249,14 +249,14 @@
     REQUIRE(cluster->leader());
     CHECK(*cluster->leader() != leader);
     CHECK(cluster->control(leader).replication().current_role() == replica::role::failed);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a planned stop: nothing fails, and new work stops within two seconds") {
     // Guards against cancelling requests in flight, or refusing requests that could be queued, at
     // each restart. A stop is announced while every node sends requests.
     auto cluster = make_ready_cluster();
-    const auto [key, owner] = key_beyond_leader(*cluster);
+    const auto [key, owner] = key_not_on_leader(*cluster);
     std::vector<std::size_t> requests;
     for (int i = 0; i < 100; ++i) {
         if (i == 20) {
@@ -275,7 +275,7 @@
         CHECK(cluster->answer(number)->result == outcome::ran);
         CHECK(cluster->runs_of(number) == 1);
     }
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("nothing moves without a cause") {
@@ -301,7 +301,7 @@
         cluster->run(100ms);
     }
     CHECK(tokens() == before);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a voter with the longer log and an earlier term can still be elected") {
@@ -356,7 +356,7 @@
     for (unsigned int i = 0; i < 6; ++i) {
         cluster.submit((37 + i) % 5, (574 + i / 2) % 12, simulated_cluster::request_kind::once);
     }
-    check_clean(cluster);
+    check_recovery(cluster);
 }
 
 TEST_CASE("a node is cut off from the leader alone") {
@@ -365,7 +365,7 @@
     // the keys were reassigned: a third of the lookups was refused for six seconds, and caches were
     // cold afterwards.
     auto cluster = make_ready_cluster();
-    const auto [key, owner] = key_beyond_leader(*cluster);
+    const auto [key, owner] = key_not_on_leader(*cluster);
     const std::size_t leader = *cluster->leader();
     cluster->block_link(owner, leader);
     cluster->block_link(leader, owner);
@@ -374,7 +374,7 @@
         CHECK(cluster->owner_of(key) == owner);
     }
     CHECK(cluster->leader() == leader);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 TEST_CASE("a voter whose disk was full for a while takes part again") {
@@ -384,17 +384,17 @@
     // other voters were lost 6.2 s later, only two of five could vote: there was no leader, and
     // acknowledged routes reached no node.
     auto cluster = make_ready_cluster({.voters = 5});
-    const std::size_t full = other_than(*cluster->leader());
-    cluster->break_disk(full, fake_storage::fault::full);
+    const std::size_t full_disk = next_host(*cluster->leader());
+    cluster->break_disk(full_disk, fake_storage::fault::full);
     cluster->change_table(*cluster->leader(), cluster->accepted_version(), "while one disk is full",
                           2);
     cluster->run(2400ms);
-    REQUIRE(cluster->control(full).replication().current_role() == replica::role::failed);
-    cluster->break_disk(full, fake_storage::fault::none);
+    REQUIRE(cluster->control(full_disk).replication().current_role() == replica::role::failed);
+    cluster->break_disk(full_disk, fake_storage::fault::none);
     cluster->run(4s);
-    CHECK(cluster->control(full).replication().current_role() != replica::role::failed);
+    CHECK(cluster->control(full_disk).replication().current_role() != replica::role::failed);
     for (std::size_t lost = 0, left = 2; left > 0; ++lost) {
-        if (lost != full) {
+        if (lost != full_disk) {
             cluster->crash(lost);
             --left;
         }
@@ -405,7 +405,7 @@
     cluster->change_table(*cluster->leader(), before, "with two voters lost", 3);
     cluster->run(1s);
     CHECK(cluster->accepted_version() > before);
-    check_clean(*cluster);
+    check_recovery(*cluster);
 }
 
 // Guards against leases that expire because voters wait for their disks.
@@ -413,7 +413,7 @@
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         CAPTURE(seed);
         const auto cluster = make_ready_cluster({.seed = seed});
-        const auto decided = [&] {
+        const auto max_commit_index = [&] {
             std::uint64_t most = 0;
             for (std::size_t voter = 0; voter < 3; ++voter) {
                 most = std::max(most, cluster->control(voter).replication().commit_index());
@@ -424,7 +424,7 @@
         for (std::size_t voter = 0; voter < 3; ++voter) {
             cluster->set_sync_time(voter, 30s);
         }
-        const std::uint64_t before = decided();
+        const std::uint64_t before = max_commit_index();
         for (int i = 0; i < 100; ++i) {
             const std::size_t sent =
                 cluster->submit(static_cast<std::size_t>(i) % 5, static_cast<unsigned int>(i) % 12,
@@ -433,8 +433,8 @@
             REQUIRE(cluster->answer(sent));
             CHECK(cluster->answer(sent)->result == outcome::ran);
         }
-        CHECK(decided() == before);
-        check_clean(*cluster);
+        CHECK(max_commit_index() == before);
+        check_recovery(*cluster);
     }
 }
 
@@ -453,6 +453,6 @@
         cluster->run(15s);
         CHECK(cluster->leader());
         cluster->restart(lost);
-        check_clean(*cluster);
+        check_recovery(*cluster);
     }
 }
--- a/tests/coordination/fuzz_actions.cpp
+++ b/tests/coordination/fuzz_actions.cpp
@@ -129,8 +129,8 @@
 }
 
 sequence_result run_sequence(std::uint64_t seed, const std::vector<action> &actions,
-                             voter_disks disks) {
-    simulated_cluster cluster({.seed = seed, .write_behind = disks == voter_disks::written_behind});
+                             disk_mode disks) {
+    simulated_cluster cluster({.seed = seed, .write_behind = disks == disk_mode::asynchronous});
     cluster.run(std::chrono::milliseconds(1200));
     if (const auto leading = cluster.leader()) {
         cluster.change_table(*leading, 0, "change-first", 1);
@@ -150,8 +150,8 @@
 
 /// Swarm testing (Groce et al., 2012): each sequence uses a random half of the kinds, so that some
 /// sequences contain many actions that would be rare among all kinds.
-rc::Gen<std::vector<action>> any_actions(voter_disks disks) {
-    const std::size_t kinds = disks == voter_disks::written_behind
+rc::Gen<std::vector<action>> any_actions(disk_mode disks) {
+    const std::size_t kinds = disks == disk_mode::asynchronous
                                   ? weights.size()
                                   : static_cast<std::size_t>(action_kind::slow_disk);
     return rc::gen::mapcat(rc::gen::arbitrary<std::uint32_t>(), [kinds](std::uint32_t mask) {
@@ -190,7 +190,7 @@
     return disk_actions()(rc::Random(seed), size).value();
 }
 
-std::vector<action> actions_of(std::uint64_t seed, int size, voter_disks disks) {
+std::vector<action> actions_of(std::uint64_t seed, int size, disk_mode disks) {
     return any_actions(disks)(rc::Random(seed), size).value();
 }
 
--- a/tests/coordination/fuzz_actions.hpp
+++ b/tests/coordination/fuzz_actions.hpp
@@ -68,19 +68,19 @@
     std::size_t answered = 0;
 };
 /// How voters write to their disks in a sequence, and whether disks become slow.
-enum class voter_disks : std::uint8_t {
-    waited_for,    ///< voters block until a write is done, which takes no time
-    written_behind ///< voters continue during a write
+enum class disk_mode : std::uint8_t {
+    blocking,    ///< voters block until a write is done, which takes no time
+    asynchronous ///< voters continue during a write
 };
 sequence_result run_sequence(std::uint64_t seed, const std::vector<action> &actions,
-                             voter_disks disks = voter_disks::written_behind);
+                             disk_mode disks = disk_mode::asynchronous);
 
-rc::Gen<std::vector<action>> any_actions(voter_disks disks = voter_disks::written_behind);
+rc::Gen<std::vector<action>> any_actions(disk_mode disks = disk_mode::asynchronous);
 /// Mostly slow disks and lost voters, so that crashes coincide with writes in progress.
 rc::Gen<std::vector<action>> disk_actions();
 /// Generates the sequence of a seed; the same on every run.
 std::vector<action> disk_actions_of(std::uint64_t seed, int size);
 std::vector<action> actions_of(std::uint64_t seed, int size,
-                               voter_disks disks = voter_disks::written_behind);
+                               disk_mode disks = disk_mode::asynchronous);
 
 } // namespace peppertack::testing
--- a/tests/coordination/fuzz_test.cpp
+++ b/tests/coordination/fuzz_test.cpp
@@ -9,13 +9,13 @@
 namespace {
 
 /// Seeded through RC_PARAMS, so that CI runs are reproducible.
-bool holds_for(const std::string &name, const rc::Gen<std::vector<action>> &drawn) {
+bool check_sequences(const std::string &name, const rc::Gen<std::vector<action>> &generator) {
     std::size_t sequences = 0;
     std::size_t steps = 0;
     std::size_t answered = 0;
     const bool passed = rc::check(name, [&] {
         const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000'000);
-        const std::vector<action> actions = *drawn;
+        const std::vector<action> actions = *generator;
         const sequence_result result = run_sequence(seed, actions);
         ++sequences;
         steps += result.steps;
@@ -33,9 +33,9 @@
 } // namespace
 
 TEST_CASE("any sequence of faults keeps what must always hold") {
-    CHECK(holds_for("oracle finds no violation", any_actions()));
+    CHECK(check_sequences("oracle finds no violation", any_actions()));
 }
 
 TEST_CASE("any sequence of slow disks and lost voters keeps what must always hold") {
-    CHECK(holds_for("oracle finds no violation of writing behind", disk_actions()));
+    CHECK(check_sequences("oracle finds no violation of writing behind", disk_actions()));
 }
--- a/tests/coordination/parts_test.cpp
+++ b/tests/coordination/parts_test.cpp
@@ -17,7 +17,7 @@
 
 constexpr instant start(1000s);
 
-std::vector<range_record> even_ranges(std::size_t count, target_number owners) {
+std::vector<range_record> equal_ranges(std::size_t count, target_number owners) {
     std::vector<range_record> ranges;
     for (std::size_t i = 0; i < count; ++i) {
         ranges.push_back({.first = i * (~0ULL / count + 1),
@@ -39,7 +39,7 @@
 } // namespace
 
 TEST_CASE("placement gives lost ranges to those with most room and moves nothing else") {
-    std::vector<range_record> ranges = even_ranges(64, 4);
+    std::vector<range_record> ranges = equal_ranges(64, 4);
     for (range_record &range : ranges) {
         range.owner = range.owner == 2 ? no_target : range.owner;
     }
@@ -55,7 +55,7 @@
 }
 
 TEST_CASE("a hot key is cut out as a range of its own") {
-    const std::vector<range_record> ranges = even_ranges(64, 4);
+    const std::vector<range_record> ranges = equal_ranges(64, 4);
     placement_view view = view_of(ranges, 4);
     view.hot_keys = {12345};
     greedy_placement placement;
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("moves are bounded and stop when the gain is below the price") {
-    std::vector<range_record> ranges = even_ranges(64, 4);
+    std::vector<range_record> ranges = equal_ranges(64, 4);
     for (std::size_t i = 0; i < 12; ++i) {
         ranges[i].owner = 1;
     }
@@ -77,7 +77,7 @@
 }
 
 TEST_CASE("a stopping target's ranges go elsewhere, and none comes to it") {
-    const std::vector<range_record> ranges = even_ranges(64, 4);
+    const std::vector<range_record> ranges = equal_ranges(64, 4);
     placement_view view = view_of(ranges, 4);
     view.targets[0].accepts = false;
     view.targets[0].draining = true;
@@ -262,7 +262,7 @@
 
 /// Four targets with a capacity of 100 requests per second each; the first has three times the load
 /// of the others.
-placement_view uneven_load(const std::vector<range_record> &ranges, double rate_of_first) {
+placement_view unequal_loads(const std::vector<range_record> &ranges, double rate_of_first) {
     placement_view view = view_of(ranges, 4);
     for (placement_target &target : view.targets) {
         target.capacity = 100;
@@ -279,18 +279,18 @@
     // Guards against moves between targets that are not busy. Under low load, random differences of
     // a tenth made keys move back and forth all the time; each move left them unserved for a
     // heartbeat, and a hundredth of the lookups was refused or late.
-    const std::vector<range_record> ranges = even_ranges(64, 4);
+    const std::vector<range_record> ranges = equal_ranges(64, 4);
     greedy_placement placement({.prior_rate = 1});
-    CHECK(placement.decide(uneven_load(ranges, 50)).moves.empty());
-    CHECK_FALSE(placement.decide(uneven_load(ranges, 90)).moves.empty());
-    placement_view unknown = uneven_load(ranges, 50);
+    CHECK(placement.decide(unequal_loads(ranges, 50)).moves.empty());
+    CHECK_FALSE(placement.decide(unequal_loads(ranges, 90)).moves.empty());
+    placement_view unknown = unequal_loads(ranges, 50);
     unknown.targets[0].capacity = 0;
     CHECK_FALSE(placement.decide(unknown).moves.empty());
 }
 
 TEST_CASE("a newcomer gets keys though nobody is busy") {
-    const std::vector<range_record> ranges = even_ranges(64, 4);
-    placement_view view = uneven_load(ranges, 30);
+    const std::vector<range_record> ranges = equal_ranges(64, 4);
+    placement_view view = unequal_loads(ranges, 30);
     view.targets.push_back({.number = 5, .failure_domain = "z", .weight = 1, .capacity = 100});
     greedy_placement placement({.prior_rate = 1});
     const placement_decision decision = placement.decide(view);
--- a/tests/coordination/planted_defects_test.cpp
+++ b/tests/coordination/planted_defects_test.cpp
@@ -58,18 +58,18 @@
     {"end of a target told to one leader only", &planted_defects::report_crash_once},
 }};
 
-constexpr std::uint64_t most_sequences = 3000;
+constexpr std::uint64_t max_sequences = 3000;
 constexpr int sequence_size = 120;
 
 /// Runs sequences of increasing seeds with each defect until one reports a violation.
-void check_caught(std::span<const defect> planted_ones,
-                  const std::function<std::string(std::uint64_t)> &run) {
-    for (const defect &planted : planted_ones) {
+void check_detected(std::span<const defect> planted_defects_list,
+                    const std::function<std::string(std::uint64_t)> &run) {
+    for (const defect &planted : planted_defects_list) {
         CAPTURE(planted.name);
         g_defects.*planted.flag = true;
         std::uint64_t seed = 1;
         std::string found;
-        while (seed <= most_sequences && found.empty()) {
+        while (seed <= max_sequences && found.empty()) {
             found = run(seed);
             ++seed;
         }
@@ -90,10 +90,10 @@
         g_defects.*planted.flag = true;
         std::uint64_t sequence = 1;
         sequence_result result;
-        while (sequence <= most_sequences && result.violations.empty()) {
+        while (sequence <= max_sequences && result.violations.empty()) {
             result =
-                run_sequence(sequence, actions_of(sequence, sequence_size, voter_disks::waited_for),
-                             voter_disks::waited_for);
+                run_sequence(sequence, actions_of(sequence, sequence_size, disk_mode::blocking),
+                             disk_mode::blocking);
             ++sequence;
         }
         g_defects.*planted.flag = false;
@@ -107,17 +107,17 @@
 }
 
 TEST_CASE("the oracle notices every planted defect of writing behind") {
-    check_caught(disk_defects, [](std::uint64_t seed) {
+    check_detected(disk_defects, [](std::uint64_t seed) {
         const sequence_result result = run_sequence(seed, disk_actions_of(seed, sequence_size));
         return result.violations.empty() ? "" : result.violations.front();
     });
 }
 
 TEST_CASE("the oracle notices every planted defect of calls of holds") {
-    check_caught(hold_defects, run_hold_sequence);
+    check_detected(hold_defects, run_hold_sequence);
 }
 
 TEST_CASE("the oracle notices every planted defect of quarantines") {
-    check_caught(crash_defects, run_crash_sequence);
-    check_caught(report_defects, run_cut_off_leader_sequence);
+    check_detected(crash_defects, run_crash_sequence);
+    check_detected(report_defects, run_cut_off_leader_sequence);
 }
--- a/tests/coordination/simulated_cluster.cpp
+++ b/tests/coordination/simulated_cluster.cpp
@@ -13,7 +13,7 @@
 constexpr duration announce_interval = std::chrono::milliseconds(300);
 constexpr duration answer_slack = std::chrono::milliseconds(100);
 constexpr duration in_force_limit = std::chrono::seconds(8);
-constexpr std::size_t most_violations = 5;
+constexpr std::size_t max_violations = 5;
 constexpr const char *first_service = "avisos";
 constexpr const char *second_service = "emision";
 
@@ -67,7 +67,7 @@
 
 void simulated_cluster::start_processes(std::size_t index) {
     host &item = *m_hosts[index];
-    ++item.life;
+    ++item.generation;
     item.alive = true;
     item.paused = false;
     item.stopping = false;
@@ -94,7 +94,7 @@
         item.voting = durable_voter::make(
             settings, *item.disk,
             [this](const audit_record &record) {
-                note_decision(record);
+                record_decision(record);
                 return true;
             },
             clock_of(item), reason);
@@ -104,7 +104,7 @@
             const bool refused = item.disk->fault_set() != fake_storage::fault::none &&
                                  reason.find(item.disk->last_reason()) != std::string::npos;
             if (!refused) {
-                violate("a voter can't open its log: " + reason);
+                report_violation("a voter can't open its log: " + reason);
             }
             item.alive = false;
             return;
@@ -114,7 +114,7 @@
         node_options options;
         options.self = item.address;
         options.failure_domain = "zone-" + std::to_string(index % 3);
-        options.incarnation = index * 1'000'000 + item.life * 1000;
+        options.incarnation = index * 1'000'000 + item.generation * 1000;
         options.voters = voters;
         options.seed = m_random();
         item.node = std::make_unique<node_core>(options);
@@ -123,18 +123,18 @@
     schedule(duration(m_random() % 10'000), index, [this, index] { tick(index); });
 }
 
-void simulated_cluster::note_decision(const audit_record &record) {
+void simulated_cluster::record_decision(const audit_record &record) {
     const auto [place, added] = m_audit.try_emplace(record.sequence, record.hash);
     if (place->second != record.hash) {
-        violate("two voters hold different decisions with sequence " +
-                std::to_string(record.sequence));
+        report_violation("two voters hold different decisions with sequence " +
+                         std::to_string(record.sequence));
     }
 }
 
 /// Lets the voter reopen a disk that has recovered: its contents must be usable again.
-void simulated_cluster::tend_disk(std::size_t index) {
+void simulated_cluster::check_disk(std::size_t index) {
     host &item = *m_hosts[index];
-    take_disk_news(index, item.voting->tend_disk(clock_of(item)));
+    handle_disk_event(index, item.voting->tend_disk(clock_of(item)));
     start_disk_task(index);
 }
 
@@ -156,25 +156,26 @@
         if (!at_once) {
             task.run();
         }
-        take_disk_news(index, task.finish(clock_of(here)));
-        carry_out(index);
+        handle_disk_event(index, task.finish(clock_of(here)));
+        process_effects(index);
     });
 }
 
-void simulated_cluster::take_disk_news(std::size_t index, durable_voter::disk_news news) {
+void simulated_cluster::handle_disk_event(std::size_t index, durable_voter::disk_news news) {
     host &item = *m_hosts[index];
     switch (news) {
     case durable_voter::disk_news::none:
     case durable_voter::disk_news::lost: break;
     case durable_voter::disk_news::back: item.changes.clear(); break;
     case durable_voter::disk_news::damaged:
-        violate("a voter reports its disk as damaged: " + item.voting->last_reason());
+        report_violation("a voter reports its disk as damaged: " + item.voting->last_reason());
         break;
     }
 }
 
-void simulated_cluster::schedule(duration delay, std::size_t index, std::function<void()> act) {
-    m_events.push_back({m_now + delay, m_order++, index, m_hosts[index]->life, std::move(act)});
+void simulated_cluster::schedule(duration delay, std::size_t index, std::function<void()> action) {
+    m_events.push_back(
+        {m_now + delay, m_order++, index, m_hosts[index]->generation, std::move(action)});
     std::push_heap(m_events.begin(), m_events.end(), std::greater<>());
 }
 
@@ -186,21 +187,21 @@
         m_events.pop_back();
         m_now = next.at;
         host &item = *m_hosts[next.host];
-        if (!item.alive || item.life != next.life) {
+        if (!item.alive || item.generation != next.generation) {
             continue;
         }
         if (item.paused) {
-            item.deferred.push_back(std::move(next.act));
+            item.deferred.push_back(std::move(next.action));
             continue;
         }
         ++m_steps;
-        next.act();
+        next.action();
     }
     m_now = until;
     check_owners();
     check_tables();
-    check_histories();
-    check_pending();
+    check_replicated_state();
+    check_unanswered();
 }
 
 void simulated_cluster::tick(std::size_t index) {
@@ -211,9 +212,9 @@
     if (item.node) {
         item.node->tick(clock_of(item));
     }
-    carry_out(index);
+    process_effects(index);
     if (item.voting) {
-        tend_disk(index);
+        check_disk(index);
     }
     schedule(tick_interval, index, [this, index] { tick(index); });
 }
@@ -230,7 +231,7 @@
     } else if (!item.target.up && item.node->lease().number() != no_target) {
         item.node->target_down(clock_of(item));
     }
-    carry_out(index);
+    process_effects(index);
     schedule(announce_interval, index, [this, index] { announce(index); });
 }
 
@@ -238,11 +239,11 @@
 void simulated_cluster::check_leader(std::size_t index) {
     const replica &log = m_hosts[index]->voting->core().replication();
     if (log.leads() && m_term_leaders.try_emplace(log.term(), index).first->second != index) {
-        violate("two voters lead in one term");
+        report_violation("two voters lead in one term");
     }
 }
 
-void simulated_cluster::carry_out(std::size_t index) {
+void simulated_cluster::process_effects(std::size_t index) {
     host &item = *m_hosts[index];
     if (item.voting) {
         check_leader(index);
@@ -258,7 +259,7 @@
             const change_answer &result = *answer.change;
             const auto [place, first] = m_change_answers.try_emplace(change_id, result);
             if (!first && place->second != result) {
-                violate("a resent table change got a different result than the first");
+                report_violation("a resent table change got a different result than the first");
             }
             if (result.error == error_kind::none) {
                 const auto [held, added] = m_accepted.try_emplace(result.version, change_id);
@@ -266,7 +267,7 @@
                 m_accepted_term.try_emplace(result.version,
                                             item.voting->core().replication().term());
                 if (held->second != change_id) {
-                    violate("two table changes were accepted under the same version");
+                    report_violation("two table changes were accepted under the same version");
                 }
             }
         }
@@ -289,7 +290,7 @@
         start_call(index, call);
     }
     for (const caller_answer &answer : effects.answers) {
-        take_answer(answer, item);
+        handle_answer(answer, item);
     }
 }
 
@@ -304,22 +305,22 @@
 
 void simulated_cluster::send(std::size_t from, const outgoing &item) {
     const std::size_t to = index_of(item.to);
-    if (to >= m_hosts.size() || !m_hosts[to]->alive || m_cuts.count({from, to}) != 0) {
+    if (to >= m_hosts.size() || !m_hosts[to]->alive || m_blocked_links.count({from, to}) != 0) {
         return;
     }
     if (item.fresh_connection) {
-        m_silent.erase({from, to});
-        m_silent.erase({to, from});
+        m_silent_links.erase({from, to});
+        m_silent_links.erase({to, from});
     }
-    if (m_silent.count({from, to}) != 0 || m_random() % 100 < m_drop_percent) {
+    if (m_silent_links.count({from, to}) != 0 || m_random() % 100 < m_drop_percent) {
         return;
     }
     const int copies = m_random() % 100 < m_duplicate_percent ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         const bool late = m_random() % 50 == 0;
         duration delay(200 + m_random() % (late ? 60'000 : 1500));
-        if (m_slowness > duration{} && m_random() % 5 == 0) {
-            delay += duration(m_random() % static_cast<std::uint64_t>(m_slowness.count()));
+        if (m_max_extra_delay > duration{} && m_random() % 5 == 0) {
+            delay += duration(m_random() % static_cast<std::uint64_t>(m_max_extra_delay.count()));
         }
         const node_address sender = m_hosts[from]->address;
         schedule(delay, to, [this, to, sender, body = item.body] { deliver(to, sender, body); });
@@ -337,7 +338,7 @@
             check_owners();
         }
     }
-    carry_out(to);
+    process_effects(to);
 }
 
 // ---- targets ----
@@ -360,27 +361,29 @@
         if (other != index && rival.alive && rival.node &&
             service_of(other) == call.request.service &&
             rival.node->owner().serves(hash, clock_of(rival).now)) {
-            violate("a request was written by host " + std::to_string(index) + " while host " +
-                    std::to_string(other) + " owned its key");
+            report_violation("a request was written by host " + std::to_string(index) +
+                             " while host " + std::to_string(other) + " owned its key");
         }
     }
-    const std::uint64_t target_life = item.target.life;
-    schedule(duration(500 + m_random() % 20'000), index,
-             [this, index, call, target_life] { run_at_target(index, call, target_life); });
+    const std::uint64_t target_generation = item.target.generation;
+    schedule(duration(500 + m_random() % 20'000), index, [this, index, call, target_generation] {
+        run_at_target(index, call, target_generation);
+    });
 }
 
 void simulated_cluster::run_at_target(std::size_t index, const target_call &call,
-                                      std::uint64_t target_life) {
+                                      std::uint64_t target_generation) {
     host &item = *m_hosts[index];
-    if (!item.target.up || item.target.life != target_life) {
+    if (!item.target.up || item.target.generation != target_generation) {
         end_call(index, call.call, {.result = call_result::kind::lost});
         return;
     }
     if (item.target.frozen) {
         // The target has received the request and runs it when it thaws, whatever happened
         // meanwhile.
-        schedule(duration(20'000), index,
-                 [this, index, call, target_life] { run_at_target(index, call, target_life); });
+        schedule(duration(20'000), index, [this, index, call, target_generation] {
+            run_at_target(index, call, target_generation);
+        });
         return;
     }
     call_result result{.result = call_result::kind::answered, .status = 200};
@@ -405,7 +408,7 @@
         const std::string &key = m_submissions[found->second].idempotency_key;
         const std::string identity = key.empty() ? name : key;
         if (++m_runs_by_key[identity] > 1) {
-            violate("a request that may run only once ran twice: " + identity);
+            report_violation("a request that may run only once ran twice: " + identity);
         }
     }
     // A resend under the same key gets the answer of the first attempt.
@@ -417,7 +420,7 @@
 void simulated_cluster::end_call(std::size_t index, std::uint64_t call, call_result result) {
     host &item = *m_hosts[index];
     item.node->call_finished(call, std::move(result), clock_of(item));
-    carry_out(index);
+    process_effects(index);
 }
 
 // ---- callers ----
@@ -443,11 +446,11 @@
     const std::size_t number = m_submissions.size();
     m_by_name[item.name] = number;
     host &at = *m_hosts[index];
-    item.node_life = at.life;
+    item.node_generation = at.generation;
     item.deadline = m_now + deadline;
     m_submissions.push_back(item);
     if (!at.alive || at.paused || !at.node) {
-        m_submissions.back().node_life = 0; // not accepted by any node, so no answer is due
+        m_submissions.back().node_generation = 0; // not accepted by any node, so no answer is due
         return number;
     }
     caller_request request;
@@ -461,7 +464,7 @@
     request.time_left = deadline;
     const std::uint64_t ticket = at.node->submit(std::move(request), clock_of(at));
     at.tickets[ticket] = number;
-    carry_out(index);
+    process_effects(index);
     return number;
 }
 
@@ -476,7 +479,7 @@
     }
     submission again = first;
     again.node = index;
-    again.node_life = at.life;
+    again.node_generation = at.generation;
     again.answer.reset();
     again.deadline = m_now + std::chrono::milliseconds(2000);
     const std::size_t new_number = m_submissions.size();
@@ -492,13 +495,13 @@
     request.time_left = std::chrono::milliseconds(2000);
     const std::uint64_t ticket = at.node->submit(std::move(request), clock_of(at));
     at.tickets[ticket] = new_number;
-    carry_out(index);
+    process_effects(index);
 }
 
-void simulated_cluster::take_answer(const caller_answer &answer, host &at) {
+void simulated_cluster::handle_answer(const caller_answer &answer, host &at) {
     const auto found = at.tickets.find(answer.ticket);
     if (found == at.tickets.end()) {
-        violate("an answer for a request that is not pending");
+        report_violation("an answer for a request that is not pending");
         return;
     }
     submission &item = m_submissions[found->second];
@@ -513,10 +516,10 @@
     if (response.result == outcome::ran && response.status == 200) {
         const std::string wanted = "answer to " + item.body();
         if (!response.body || *response.body != wanted) {
-            violate("request " + item.name + " got the answer of another request");
+            report_violation("request " + item.name + " got the answer of another request");
         }
         if (runs == 0) {
-            violate("request " + item.name + " was reported as run but did not run");
+            report_violation("request " + item.name + " was reported as run but did not run");
         }
     }
     const bool first_try = item.idempotency_key.empty() || m_by_name[item.name] + 1 > 0;
@@ -527,7 +530,7 @@
             std::count_if(m_submissions.begin(), m_submissions.end(),
                           [&](const submission &other) { return other.name == item.name; }) > 1;
         if (!resent) {
-            violate("request " + item.name + " was reported as not run but ran");
+            report_violation("request " + item.name + " was reported as not run but ran");
         }
     }
 }
@@ -556,7 +559,7 @@
                   peppertack::change_table{change_id, base_version, table_csv(weight)}};
     const std::uint64_t ticket = item.voting->core().submit(std::move(value), clock_of(item));
     item.changes[ticket] = {change_id, base_version};
-    carry_out(voter);
+    process_effects(voter);
 }
 
 void simulated_cluster::announce_stop(std::size_t node) {
@@ -569,7 +572,7 @@
     host &item = *m_hosts[*leading];
     item.voting->core().submit({0, "operator", "planned stop", drain_target{number}},
                                clock_of(item));
-    carry_out(*leading);
+    process_effects(*leading);
 }
 
 void simulated_cluster::begin_stop(std::size_t node) {
@@ -577,7 +580,7 @@
     if (item.alive && !item.paused && item.node) {
         item.stopping = true;
         item.node->begin_stop(clock_of(item));
-        carry_out(node);
+        process_effects(node);
     }
 }
 
@@ -602,7 +605,7 @@
     item.voting.reset();
     item.node.reset();
     item.disk->crash(m_random);
-    item.target.life++; // its node is gone: running requests end without an answer
+    item.target.generation++; // its node is gone: running requests end without an answer
 }
 
 void simulated_cluster::restart(std::size_t index) {
@@ -624,26 +627,26 @@
     item.paused = false;
     std::vector<std::function<void()>> events = std::move(item.deferred);
     item.deferred.clear();
-    for (std::function<void()> &act : events) {
-        schedule(duration(1), index, std::move(act));
+    for (std::function<void()> &action : events) {
+        schedule(duration(1), index, std::move(action));
     }
 }
 
 void simulated_cluster::block_link(std::size_t from, std::size_t to) {
-    m_cuts.insert({from, to});
+    m_blocked_links.insert({from, to});
 }
 
 void simulated_cluster::heal_network() {
-    m_cuts.clear();
-    m_silent.clear();
-    m_slowness = {};
+    m_blocked_links.clear();
+    m_silent_links.clear();
+    m_max_extra_delay = {};
     m_drop_percent = 0;
     m_duplicate_percent = 0;
 }
 
 void simulated_cluster::silence_connection(std::size_t a, std::size_t b) {
-    m_silent.insert({a, b});
-    m_silent.insert({b, a});
+    m_silent_links.insert({a, b});
+    m_silent_links.insert({b, a});
 }
 
 void simulated_cluster::set_message_faults(unsigned int drop_percent,
@@ -660,7 +663,7 @@
     host &item = *m_hosts[node];
     item.target.up = false;
     item.target.frozen = false;
-    ++item.target.life;
+    ++item.target.generation;
     item.target.highest.clear();
 }
 
@@ -691,13 +694,13 @@
     start_processes(spare);
     host &item = *m_hosts[*leading];
     item.voting->core().replace_voter(m_hosts[spare]->address, lost.address, clock_of(item));
-    carry_out(*leading);
+    process_effects(*leading);
 }
 
 // ---- the oracle ----
 
-void simulated_cluster::violate(const std::string &what) {
-    if (m_violations.size() < most_violations) {
+void simulated_cluster::report_violation(const std::string &what) {
+    if (m_violations.size() < max_violations) {
         m_violations.push_back("at " + std::to_string(m_now.time_since_epoch().count() / 1000) +
                                " ms: " + what);
     }
@@ -732,7 +735,7 @@
                 owners += owns ? 1 : 0;
             }
             if (owners > 1) {
-                violate("a key has two owners");
+                report_violation("a key has two owners");
                 return;
             }
         }
@@ -747,19 +750,20 @@
         }
         const lease_client &lease = item.node->lease();
         if (lease.table_version() < item.table_seen) {
-            violate("a node replaced its table by an earlier one");
+            report_violation("a node replaced its table by an earlier one");
         }
         item.table_seen = lease.table_version();
         for (const auto &[version, at] : m_accepted_at) {
             if (at + in_force_limit < m_now && lease.table_version() < version &&
                 lease.lease_valid(clock_of(item).now)) {
-                violate("a node serves without a table that was accepted more than 8 s ago");
+                report_violation(
+                    "a node serves without a table that was accepted more than 8 s ago");
             }
         }
     }
 }
 
-void simulated_cluster::check_histories() {
+void simulated_cluster::check_replicated_state() {
     for (const std::unique_ptr<host> &item : m_hosts) {
         if (!item->alive || !item->voting) {
             continue;
@@ -767,30 +771,30 @@
         const control_state &state = item->voting->core().state();
         const auto known = m_accepted.find(state.table_version());
         if (known != m_accepted.end() && known->second != state.table_change_id()) {
-            violate("a voter holds a different table under an accepted version");
+            report_violation("a voter holds a different table under an accepted version");
         }
         const auto hash = m_audit.find(state.audit().sequence);
         if (hash != m_audit.end() && hash->second != state.audit().hash) {
-            violate("a voter's decisions differ from another voter's");
+            report_violation("a voter's decisions differ from another voter's");
         }
         for (const auto &[version, term] : m_accepted_term) {
             // A deposed leader of an earlier term may lack the table.
             const bool later = item->voting->core().replication().term() >= term;
             if (item->voting->core().established() && later && state.table_version() < version) {
-                violate("a leader lacks an accepted table");
+                report_violation("a leader lacks an accepted table");
             }
         }
     }
 }
 
-void simulated_cluster::check_pending() {
+void simulated_cluster::check_unanswered() {
     for (const submission &item : m_submissions) {
         const host &at = *m_hosts[item.node];
-        const bool owed = item.node_life == at.life && at.alive && !at.paused;
+        const bool answer_due = item.node_generation == at.generation && at.alive && !at.paused;
         // A paused process answers late: its deferred events run after the pause.
-        if (owed && !item.answer &&
+        if (answer_due && !item.answer &&
             item.deadline + answer_slack + std::chrono::seconds(1) < m_now && at.deferred.empty()) {
-            violate("request " + item.name + " got no answer long after its deadline");
+            report_violation("request " + item.name + " got no answer long after its deadline");
         }
     }
 }
@@ -808,7 +812,7 @@
     for (std::size_t i = 0; i < m_hosts.size(); ++i) {
         host &item = *m_hosts[i];
         item.disk->set_fault(fake_storage::fault::none);
-        item.sync_time = usual_sync_time;
+        item.sync_time = default_sync_time;
         resume(i);
         if (!item.alive || item.stopping) {
             crash(i);
@@ -828,7 +832,7 @@
     }
     run(std::chrono::seconds(6));
     if (!leader()) {
-        violate("no leader after healing");
+        report_violation("no leader after healing");
         return;
     }
     if (m_accepted.empty()) {
@@ -841,15 +845,15 @@
     run(std::chrono::seconds(3));
     for (const std::size_t number : reads) {
         const submission &item = m_submissions[number];
-        if (item.node_life != 0 && (!item.answer || item.answer->result != outcome::ran)) {
-            violate("a key is not served after healing: error " +
-                    (item.answer ? std::to_string(static_cast<int>(item.answer->error))
-                                 : std::string("none")));
+        if (item.node_generation != 0 && (!item.answer || item.answer->result != outcome::ran)) {
+            report_violation("a key is not served after healing: error " +
+                             (item.answer ? std::to_string(static_cast<int>(item.answer->error))
+                                          : std::string("none")));
         }
     }
     for (std::size_t i = 0; i < m_options.nodes; ++i) {
         if (m_hosts[i]->node && m_hosts[i]->node->lease().table_version() < accepted_version()) {
-            violate("an accepted table is not in force after healing");
+            report_violation("an accepted table is not in force after healing");
         }
     }
     check_final();
--- a/tests/coordination/simulated_cluster.hpp
+++ b/tests/coordination/simulated_cluster.hpp
@@ -60,8 +60,8 @@
     void heal_network();
     void silence_connection(std::size_t a, std::size_t b);
     void set_message_faults(unsigned int drop_percent, unsigned int duplicate_percent);
-    /// One message in five is delayed by up to `most`.
-    void set_max_extra_delay(duration most) { m_slowness = most; }
+    /// Delays one message in five by up to `max`.
+    void set_max_extra_delay(duration max) { m_max_extra_delay = max; }
     void break_disk(std::size_t voter, fake_storage::fault fault);
     /// Sets the duration of each later write to the voter's disk.
     void set_sync_time(std::size_t voter, duration time) { m_hosts[voter]->sync_time = time; }
@@ -97,18 +97,18 @@
     double served_fraction() const;
 
 private:
-    static constexpr duration usual_sync_time = std::chrono::milliseconds(1);
+    static constexpr duration default_sync_time = std::chrono::milliseconds(1);
 
     struct target_state {
         bool up = true;
         bool frozen = false;
-        std::uint64_t life = 1;
+        std::uint64_t generation = 1;
         std::map<std::uint64_t, fencing_token> highest; ///< by hash of the key
     };
     struct host {
         node_address address;
         std::unique_ptr<fake_storage> disk;
-        duration sync_time = usual_sync_time;
+        duration sync_time = default_sync_time;
         std::unique_ptr<durable_voter> voting;
         std::unique_ptr<node_core> node;
         target_state target;
@@ -120,7 +120,7 @@
         double rate = 1;
         std::int64_t clock_base = 0;
         instant rate_since{};
-        std::uint64_t life = 0;
+        std::uint64_t generation = 0;
         std::uint64_t table_seen = 0;
         std::map<std::uint64_t, std::size_t> tickets; ///< of the node, to submission numbers
         std::set<std::uint64_t> cancelled;
@@ -132,15 +132,15 @@
         instant at{};
         std::uint64_t order = 0;
         std::size_t host = 0;
-        std::uint64_t life = 0; ///< the event is dropped if the host has restarted since
-        std::function<void()> act;
+        std::uint64_t generation = 0; ///< the event is dropped if the host has restarted since
+        std::function<void()> action;
         bool operator>(const event &other) const {
             return std::tie(at, order) > std::tie(other.at, other.order);
         }
     };
     struct submission {
         std::size_t node = 0;
-        std::uint64_t node_life = 0;
+        std::uint64_t node_generation = 0;
         std::string name; ///< unique; sent as the body
         std::string idempotency_key;
         unsigned int key = 0;
@@ -158,29 +158,29 @@
     std::size_t submit(submission item, duration deadline);
     moment clock_of(const host &which) const;
     void start_processes(std::size_t index);
-    void schedule(duration delay, std::size_t host, std::function<void()> act);
+    void schedule(duration delay, std::size_t host, std::function<void()> action);
     void tick(std::size_t index);
     void announce(std::size_t index);
-    void tend_disk(std::size_t index);
+    void check_disk(std::size_t index);
     void start_disk_task(std::size_t index);
-    void take_disk_news(std::size_t index, durable_voter::disk_news news);
-    void note_decision(const audit_record &record);
-    void carry_out(std::size_t index);
+    void handle_disk_event(std::size_t index, durable_voter::disk_news news);
+    void record_decision(const audit_record &record);
+    void process_effects(std::size_t index);
     void send(std::size_t from, const outgoing &item);
     void deliver(std::size_t to, const node_address &from, const message &body);
     void start_call(std::size_t index, const target_call &call);
     void write_call(std::size_t index, const target_call &call);
-    void run_at_target(std::size_t index, const target_call &call, std::uint64_t target_life);
+    void run_at_target(std::size_t index, const target_call &call, std::uint64_t target_generation);
     void end_call(std::size_t index, std::uint64_t call, call_result result);
-    void take_answer(const caller_answer &answer, host &at);
+    void handle_answer(const caller_answer &answer, host &at);
     void check_answer(const submission &item);
     void check_owners();
     void check_leader(std::size_t index);
     void check_tables();
-    void check_histories();
-    void check_pending();
+    void check_replicated_state();
+    void check_unanswered();
     void check_final();
-    void violate(const std::string &what);
+    void report_violation(const std::string &what);
     std::size_t index_of(const node_address &address) const;
     std::string table_csv(double weight) const;
     std::string service_of(std::size_t node) const;
@@ -194,9 +194,9 @@
     std::size_t m_steps = 0;
     std::vector<event> m_events; ///< a heap
     std::vector<std::unique_ptr<host>> m_hosts;
-    std::set<std::pair<std::size_t, std::size_t>> m_cuts;
-    std::set<std::pair<std::size_t, std::size_t>> m_silent;
-    duration m_slowness{};
+    std::set<std::pair<std::size_t, std::size_t>> m_blocked_links;
+    std::set<std::pair<std::size_t, std::size_t>> m_silent_links;
+    duration m_max_extra_delay{};
     unsigned int m_drop_percent = 0;
     unsigned int m_duplicate_percent = 0;
     std::vector<submission> m_submissions;
