--- a/include/peppertack/coordination/control_core.hpp
+++ b/include/peppertack/coordination/control_core.hpp
@@ -43,12 +43,12 @@
     duration expiry_delay_after_stall = std::chrono::milliseconds(300);
     std::uint64_t entries_per_snapshot = 10'000;
     std::size_t min_nodes_for_selective_push =
-        200; ///< with more nodes, updates go only to affected ones
+        200; ///< from this many nodes on, pushes go only to affected ones
     std::size_t max_push_items =
         256; ///< larger changes are delivered with renewal replies, spread over time
     std::size_t max_items_per_update = 512; ///< the rest follows with the next renewals
     std::size_t max_expirations_per_command =
-        16; ///< keeps the items that one command changes within an update
+        16; ///< so that the changes of one command fit into an update
     voter_roster::options roster;
 };
 
@@ -179,7 +179,7 @@
     instant m_next_placement{};
     instant m_next_balance{};
     std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>>
-        m_tickets; ///< index: term, ticket
+        m_tickets; ///< term and ticket by log index
     std::vector<submit_answer> m_answers;
     std::deque<pending_renewal> m_pending_renewals; ///< in order of their rounds
     std::map<node_address, node_report> m_nodes;
--- a/include/peppertack/coordination/placement.hpp
+++ b/include/peppertack/coordination/placement.hpp
@@ -32,7 +32,7 @@
     std::vector<std::uint64_t> hot_keys; ///< hashes of keys with a large share of a range's load
     /// Ranges are split only at multiples of this: the distance between adjacent keys of an ordered
     /// key space; 1 for hashed keys.
-    std::uint64_t key_distance = 1;
+    std::uint64_t key_spacing = 1;
     double churn_price = 1;
     double unavailable_price = 1;
 };
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -715,7 +715,7 @@
 
 placement_view control_core::view_of(const std::string &service) const {
     placement_view view;
-    view.key_distance = m_state.ordered_keys(service) ? ordered_key_distance : 1;
+    view.key_spacing = m_state.ordered_keys(service) ? ordered_key_distance : 1;
     view.ranges = &m_state.ranges().at(service);
     const std::set<target_number> &numbers = m_state.live_targets(service);
     std::map<std::string, std::size_t> in_domain;
@@ -751,13 +751,14 @@
 
 void control_core::split(const std::string &service, const std::vector<std::uint64_t> &split_points,
                          moment at) {
-    std::map<std::uint64_t, std::vector<std::uint64_t>> by_range;
-    for (const std::uint64_t cut : split_points) {
-        propose(at, placement_actor, "range too heavy or too wide", split_range{service, cut});
-        by_range[m_state.find_range(service, cut)->first].push_back(cut);
-    }
-    for (const auto &[first, inside] : by_range) {
-        m_load_tracker.divide_load(service, first, inside);
+    std::map<std::uint64_t, std::vector<std::uint64_t>> points_by_range;
+    for (const std::uint64_t split_point : split_points) {
+        propose(at, placement_actor, "range too heavy or too wide",
+                split_range{service, split_point});
+        points_by_range[m_state.find_range(service, split_point)->first].push_back(split_point);
+    }
+    for (const auto &[first, points] : points_by_range) {
+        m_load_tracker.divide_load(service, first, points);
     }
 }
 
--- a/src/coordination/load_tracker.cpp
+++ b/src/coordination/load_tracker.cpp
@@ -118,8 +118,8 @@
     found->second.rate /= static_cast<double>(split_points.size() + 1);
     found->second.split_points.clear();
     const measured_rate part = found->second;
-    for (const std::uint64_t cut : split_points) {
-        load->second.ranges[cut] = part;
+    for (const std::uint64_t split_point : split_points) {
+        load->second.ranges[split_point] = part;
     }
 }
 
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -11,7 +11,7 @@
 
 constexpr double min_share = 1e-9;
 constexpr std::uint64_t min_split_width =
-    1ULL << 40U; ///< in a narrower range a single key carries the load
+    1ULL << 40U; ///< narrower ranges are not split: a single key carries the load
 
 std::uint64_t last_hash(const std::vector<range_record> &ranges, std::size_t at) {
     return at + 1 < ranges.size() ? ranges[at + 1].first - 1
@@ -64,10 +64,11 @@
     bool accepts(std::size_t target) const {
         return m_view->targets[target].accepts && m_view->targets[target].weight > 0;
     }
-    /// Whether a target's measured rate exceeds `part` of its capacity; true if that is unknown.
-    bool busy(std::size_t target, double part) const {
+    /// Whether a target's measured rate exceeds `fraction` of its capacity; true if that is
+    /// unknown.
+    bool busy(std::size_t target, double fraction) const {
         const double capacity = m_view->targets[target].capacity;
-        return capacity == 0 || m_rates[target] > capacity * part;
+        return capacity == 0 || m_rates[target] > capacity * fraction;
     }
     void move_load(double share, std::size_t from, std::size_t to) {
         if (from != none) {
@@ -82,7 +83,7 @@
     std::unordered_map<target_number, std::size_t> m_index;
     std::vector<double> m_desired_shares;
     std::vector<double> m_loads;
-    std::vector<double> m_rates; ///< requests a second
+    std::vector<double> m_rates; ///< requests per second
     std::vector<std::vector<std::size_t>> m_owned;
 };
 
@@ -256,8 +257,9 @@
     const double threshold = options.min_gain_per_price * view.churn_price;
     const double limit = 1 + options.tolerance;
     std::vector<char> moved(view.ranges->size(), 0);
-    for (const std::uint64_t cut : decision.splits) {
-        moved[position_of(*view.ranges, cut)] = 1; // its parts are considered in the next decision
+    for (const std::uint64_t split_point : decision.splits) {
+        moved[position_of(*view.ranges, split_point)] =
+            1; // its parts are considered in the next decision
     }
     std::vector<char> skipped(view.targets.size(), 0);
     while (budget > 0) {
@@ -297,8 +299,8 @@
 std::optional<std::uint64_t> midpoint_of(const placement_view &view, std::size_t i) {
     const std::uint64_t first = (*view.ranges)[i].first;
     const std::uint64_t middle = first + (last_hash(*view.ranges, i) - first) / 2 + 1;
-    const std::uint64_t cut = middle - middle % view.key_distance;
-    return cut > first ? std::optional(cut) : std::nullopt;
+    const std::uint64_t split_point = middle - middle % view.key_spacing;
+    return split_point > first ? std::optional(split_point) : std::nullopt;
 }
 
 /// Split points of the heavy range at position `i`: the measured ones, else its middle.
@@ -311,8 +313,8 @@
         return middle ? std::vector{*middle} : std::vector<std::uint64_t>{};
     }
     std::vector<std::uint64_t> result;
-    for (const std::uint64_t cut : measured->second) {
-        const std::uint64_t aligned = cut - cut % view.key_distance;
+    for (const std::uint64_t split_point : measured->second) {
+        const std::uint64_t aligned = split_point - split_point % view.key_spacing;
         if (aligned > first && aligned <= last) {
             result.push_back(aligned);
         }
@@ -331,8 +333,8 @@
         }
         if (ranges[at].first != hash) {
             decision.splits.push_back(hash);
-        } else if (last_hash(ranges, at) != hash + (view.key_distance - 1)) {
-            decision.splits.push_back(hash + view.key_distance);
+        } else if (last_hash(ranges, at) != hash + (view.key_spacing - 1)) {
+            decision.splits.push_back(hash + view.key_spacing);
         }
     }
     for (std::size_t i = 0; i < ranges.size(); ++i) {
@@ -367,9 +369,9 @@
         if (decision.splits.size() >= wanted || width(i) < 2) {
             return;
         }
-        const std::optional<std::uint64_t> cut = midpoint_of(view, i);
-        if (cut && ranges[i].next == no_target) {
-            decision.splits.push_back(*cut);
+        const std::optional<std::uint64_t> split_point = midpoint_of(view, i);
+        if (split_point && ranges[i].next == no_target) {
+            decision.splits.push_back(*split_point);
         }
     }
 }
@@ -400,8 +402,9 @@
     if (m_options.max_concurrent_moves == 0) {
         return 0;
     }
-    const std::size_t by_size = view.targets.size() / m_options.targets_per_concurrent_move;
-    return std::max(m_options.max_concurrent_moves, by_size);
+    const std::size_t target_based_limit =
+        view.targets.size() / m_options.targets_per_concurrent_move;
+    return std::max(m_options.max_concurrent_moves, target_based_limit);
 }
 
 placement_decision greedy_placement::decide(const placement_view &view) {
