--- a/tests/coordination/load_split_points_test.cpp
+++ b/tests/coordination/load_split_points_test.cpp
@@ -17,7 +17,7 @@
 
 } // namespace
 
-TEST_CASE("a busy neighbourhood is cut into parts of like load at once") {
+TEST_CASE("adjacent busy keys are split into parts of similar load at once") {
     // Guards against one split per load report. When 200 adjacent keys became busy, their range was
     // halved, one half moved and the next half measured, again and again: for ten seconds a quarter
     // of the lookups was refused while most targets were idle.
@@ -34,7 +34,7 @@
     CHECK(load_split_points({{7, 300}}, 20, 31).empty());
 }
 
-TEST_CASE("light ranges are not cut, and there are never more cuts than allowed") {
+TEST_CASE("light ranges are not split, and the number of split points is bounded") {
     CHECK(load_split_points({}, 20, 31).empty());
     CHECK(load_split_points(adjacent_keys(1, 10, 2), 20, 31).empty());
     CHECK(load_split_points(adjacent_keys(1, 500, 20), 20, 31).size() == 31);
--- a/tests/coordination/load_tracker_test.cpp
+++ b/tests/coordination/load_tracker_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("loads follow the reports, are shared out at a cut and forgotten in the end") {
+TEST_CASE("loads follow the reports, are divided at a split and expire") {
     load_tracker tracker;
     tracker.record("s", 1, report(0, {{10, 80, {20, 30, 40}}}), start);
     placement_view view;
@@ -38,7 +38,7 @@
     CHECK(old.loads.empty());
 }
 
-TEST_CASE("weights follow what targets were measured to do, within bounds") {
+TEST_CASE("weights follow measured capacities, within bounds") {
     load_tracker tracker;
     for (int i = 0; i < 5; ++i) {
         tracker.record("s", 1, report(100, {{0, 1, {}}}), start);
--- a/tests/coordination/map_pacing_test.cpp
+++ b/tests/coordination/map_pacing_test.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a map that is on its way is not sent with each renewal") {
+TEST_CASE("a map that is in transit is not sent with each renewal") {
     // Guards against sending the full map with each reply while it is in transit. After a power
     // loss 200 nodes came back without a map; the transfer took half a second and more, in which
     // each node renewed several times. For 8 s almost nothing was served, and the leader exceeded
@@ -40,7 +40,7 @@
     CHECK(full_maps >= 2); // the first may be lost with its connection
 }
 
-TEST_CASE("what changes while a map is on its way follows it") {
+TEST_CASE("changes made while a map is in transit are sent after it") {
     slow_link link;
     CHECK(link.renew(0, start, 900) == 0);
     CHECK(link.renew(0, start + 150ms, 905) == 900);
--- a/tests/coordination/parts_test.cpp
+++ b/tests/coordination/parts_test.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("placement gives lost ranges to those with most room and moves nothing else") {
+TEST_CASE("placement grants unowned ranges to the least loaded targets and moves nothing else") {
     std::vector<range_record> ranges = equal_ranges(64, 4);
     for (range_record &range : ranges) {
         range.owner = range.owner == 2 ? no_target : range.owner;
@@ -275,7 +275,7 @@
 
 } // namespace
 
-TEST_CASE("keys are moved for load only when a target has about as much as it can do") {
+TEST_CASE("keys are moved for load only when a target is near its capacity") {
     // Guards against moves between targets that are not busy. Under low load, random differences of
     // a tenth made keys move back and forth all the time; each move left them unserved for a
     // heartbeat, and a hundredth of the lookups was refused or late.
@@ -288,7 +288,7 @@
     CHECK_FALSE(placement.decide(unknown).moves.empty());
 }
 
-TEST_CASE("a newcomer gets keys though nobody is busy") {
+TEST_CASE("a new target gets keys although no target is busy") {
     const std::vector<range_record> ranges = equal_ranges(64, 4);
     placement_view view = unequal_loads(ranges, 30);
     view.targets.push_back({.number = 5, .failure_domain = "z", .weight = 1, .capacity = 100});
