--- a/include/peppertack/state/crash_ledger.hpp
+++ b/include/peppertack/state/crash_ledger.hpp
@@ -33,21 +33,22 @@
     /// Lives of targets that have to end under a request until it is quarantined, if no other that
     /// ran beside it has seen as many. Two are met by bystanders that were sent to the next target
     /// along with the cause.
-    static constexpr std::size_t ends_to_quarantine = 3;
+    static constexpr std::size_t crashes_to_quarantine = 3;
     /// So many ends quarantine each request that was there, whatever ran beside it.
-    static constexpr std::size_t ends_beyond_doubt = 6;
+    static constexpr std::size_t crashes_to_quarantine_regardless = 6;
     /// From so many ends on nodes know of a request. With one end it is mostly a bystander.
-    static constexpr std::size_t ends_to_list = 2;
+    static constexpr std::size_t crashes_to_list = 2;
 
     /// Records that the life of a target ended while it ran these requests. `wall_ms` only decides
     /// what is forgotten. Yields what is quarantined by this; nothing new for a life that is known.
-    std::vector<std::uint64_t>
-    note_end(std::uint64_t life, const std::vector<std::uint64_t> &running, std::int64_t wall_ms);
+    std::vector<std::uint64_t> record_crash(std::uint64_t life,
+                                            const std::vector<std::uint64_t> &running,
+                                            std::int64_t wall_ms);
     /// Whether the end of this life was recorded a short while ago.
-    bool knows(std::uint64_t life) const;
+    bool has_recorded(std::uint64_t life) const;
     /// A target has run the request to its end, or an operator vouches for it. False if it is not
     /// under suspicion.
-    bool acquit(std::uint64_t fingerprint);
+    bool remove_suspect(std::uint64_t fingerprint);
     /// Ends a quarantine on probation: the next end under the request brings it back. False if the
     /// request is not quarantined.
     bool put_on_probation(std::uint64_t fingerprint);
@@ -55,7 +56,9 @@
     /// What nodes are told, in order of fingerprints.
     std::vector<suspect_request> listed() const;
     const std::map<std::uint64_t, suspect_record> &entries() const { return m_entries; }
-    const std::deque<std::uint64_t> &known_lives() const { return m_lives; }
+    const std::deque<std::uint64_t> &recorded_incarnations() const {
+        return m_recorded_incarnations;
+    }
     /// For snapshots.
     static crash_ledger restored(std::map<std::uint64_t, suspect_record> entries,
                                  std::deque<std::uint64_t> lives);
@@ -64,12 +67,12 @@
 
 private:
     static std::vector<std::uint64_t>
-    convict(const std::map<std::uint64_t, suspect_record *> &suspects);
-    void explain_ends_by(std::uint64_t cause);
-    void forget_old(std::int64_t wall_ms);
+    quarantine_suspects(const std::map<std::uint64_t, suspect_record *> &suspects);
+    void discount_crashes_of(std::uint64_t cause);
+    void evict_expired(std::int64_t wall_ms);
 
     std::map<std::uint64_t, suspect_record> m_entries; ///< by fingerprint
-    std::deque<std::uint64_t> m_lives;                 ///< recorded ends, the latest is the last
+    std::deque<std::uint64_t> m_recorded_incarnations; ///< recorded ends, the latest is the last
 };
 
 } // namespace peppertack
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -645,12 +645,12 @@
 
 error_kind control_state::apply_body(const report_crash &body, const command &value, note &written,
                                      applied &) {
-    if (m_crashes.knows(body.life)) {
+    if (m_crashes.has_recorded(body.life)) {
         return error_kind::cancelled; // a repeated report
     }
     const std::vector<suspect_request> listed = m_crashes.listed();
     const std::vector<std::uint64_t> quarantined =
-        m_crashes.note_end(body.life, body.running, value.wall_ms);
+        m_crashes.record_crash(body.life, body.running, value.wall_ms);
     if (m_crashes.listed() != listed) {
         m_suspects_version = m_version;
     }
@@ -667,7 +667,7 @@
     std::vector<std::uint64_t> cleared;
     for (const std::uint64_t fingerprint : body.fingerprints) {
         const bool known = body.probation ? m_crashes.put_on_probation(fingerprint)
-                                          : m_crashes.acquit(fingerprint);
+                                          : m_crashes.remove_suspect(fingerprint);
         if (known) {
             cleared.push_back(fingerprint);
         }
@@ -698,7 +698,7 @@
                               {"ranges", m_ranges},
                               {"answers", m_answers},
                               {"crashes", m_crashes.entries()},
-                              {"crashed_lives", m_crashes.known_lives()},
+                              {"crashed_lives", m_crashes.recorded_incarnations()},
                               {"suspects_version", m_suspects_version},
                               {"audit", m_audit}};
     return dump(json);
--- a/src/state/crash_ledger.cpp
+++ b/src/state/crash_ledger.cpp
@@ -9,25 +9,25 @@
 namespace {
 
 /// A request that ends targets and comes less often than this does little harm.
-constexpr std::int64_t suspicion_ms = 600'000;
+constexpr std::int64_t suspect_retention_ms = 600'000;
 /// At 18 requests a target, the suspects of some hundred targets that end together.
-constexpr std::size_t most_entries = 4096;
+constexpr std::size_t max_entries = 4096;
 /// Reports are repeated until they are known to be recorded, for seconds at most.
-constexpr std::size_t most_lives = 1024;
+constexpr std::size_t max_recorded_incarnations = 1024;
 
 } // namespace
 
-std::vector<std::uint64_t> crash_ledger::note_end(std::uint64_t life,
-                                                  const std::vector<std::uint64_t> &running,
-                                                  std::int64_t wall_ms) {
-    if (knows(life)) {
+std::vector<std::uint64_t> crash_ledger::record_crash(std::uint64_t life,
+                                                      const std::vector<std::uint64_t> &running,
+                                                      std::int64_t wall_ms) {
+    if (has_recorded(life)) {
         return {};
     }
-    m_lives.push_back(life);
-    if (m_lives.size() > most_lives) {
-        m_lives.pop_front();
+    m_recorded_incarnations.push_back(life);
+    if (m_recorded_incarnations.size() > max_recorded_incarnations) {
+        m_recorded_incarnations.pop_front();
     }
-    forget_old(wall_ms);
+    evict_expired(wall_ms);
     const bool explained =
         std::any_of(running.begin(), running.end(), [&](std::uint64_t fingerprint) {
             const auto found = m_entries.find(fingerprint);
@@ -44,15 +44,15 @@
             suspect.seen_ms = wall_ms;
         }
     }
-    std::vector<std::uint64_t> quarantined = convict(suspects);
+    std::vector<std::uint64_t> quarantined = quarantine_suspects(suspects);
     for (const std::uint64_t fingerprint : quarantined) {
-        explain_ends_by(fingerprint);
+        discount_crashes_of(fingerprint);
     }
     return quarantined;
 }
 
 /// Bystanders of these ends are as good as any other request.
-void crash_ledger::explain_ends_by(std::uint64_t cause) {
+void crash_ledger::discount_crashes_of(std::uint64_t cause) {
     const std::vector<std::uint64_t> explained = m_entries.at(cause).lives;
     for (auto &[fingerprint, other] : m_entries) {
         if (!other.quarantined) {
@@ -66,7 +66,7 @@
 
 /// The cause was there at each end, so no bystander has seen more ends than it has.
 std::vector<std::uint64_t>
-crash_ledger::convict(const std::map<std::uint64_t, suspect_record *> &suspects) {
+crash_ledger::quarantine_suspects(const std::map<std::uint64_t, suspect_record *> &suspects) {
     std::size_t most = 0;
     for (const auto &[fingerprint, suspect] : suspects) {
         most = std::max(most, suspect->lives.size());
@@ -77,8 +77,8 @@
     std::vector<std::uint64_t> quarantined;
     for (const auto &[fingerprint, suspect] : suspects) {
         const std::size_t ends = suspect->lives.size();
-        const bool stands_out = ends == most && leading == 1 && ends >= ends_to_quarantine;
-        if (stands_out || ends >= ends_beyond_doubt) {
+        const bool stands_out = ends == most && leading == 1 && ends >= crashes_to_quarantine;
+        if (stands_out || ends >= crashes_to_quarantine_regardless) {
             suspect->quarantined = true;
             quarantined.push_back(fingerprint);
         }
@@ -86,11 +86,12 @@
     return quarantined;
 }
 
-bool crash_ledger::knows(std::uint64_t life) const {
-    return std::find(m_lives.begin(), m_lives.end(), life) != m_lives.end();
+bool crash_ledger::has_recorded(std::uint64_t life) const {
+    return std::find(m_recorded_incarnations.begin(), m_recorded_incarnations.end(), life) !=
+           m_recorded_incarnations.end();
 }
 
-bool crash_ledger::acquit(std::uint64_t fingerprint) {
+bool crash_ledger::remove_suspect(std::uint64_t fingerprint) {
     return m_entries.erase(fingerprint) != 0;
 }
 
@@ -100,14 +101,14 @@
         return false;
     }
     found->second.quarantined = false;
-    found->second.lives.resize(ends_to_quarantine - 1);
+    found->second.lives.resize(crashes_to_quarantine - 1);
     return true;
 }
 
 std::vector<suspect_request> crash_ledger::listed() const {
     std::vector<suspect_request> result;
     for (const auto &[fingerprint, suspect] : m_entries) {
-        if (suspect.lives.size() >= ends_to_list) {
+        if (suspect.lives.size() >= crashes_to_list) {
             result.push_back({fingerprint, suspect.quarantined});
         }
     }
@@ -118,17 +119,17 @@
                                     std::deque<std::uint64_t> lives) {
     crash_ledger ledger;
     ledger.m_entries = std::move(entries);
-    ledger.m_lives = std::move(lives);
+    ledger.m_recorded_incarnations = std::move(lives);
     return ledger;
 }
 
 /// A quarantine outlives suspicions: only an operator, a run to the end or the leader's clock ends
 /// it.
-void crash_ledger::forget_old(std::int64_t wall_ms) {
+void crash_ledger::evict_expired(std::int64_t wall_ms) {
     std::erase_if(m_entries, [&](const auto &item) {
-        return !item.second.quarantined && item.second.seen_ms + suspicion_ms < wall_ms;
+        return !item.second.quarantined && item.second.seen_ms + suspect_retention_ms < wall_ms;
     });
-    while (m_entries.size() >= most_entries) {
+    while (m_entries.size() >= max_entries) {
         const auto rank = [](const auto &item) {
             return std::tuple(item.second.quarantined, item.second.lives.size(),
                               item.second.seen_ms);
--- a/tests/coordination/crash_fuzz.cpp
+++ b/tests/coordination/crash_fuzz.cpp
@@ -142,7 +142,8 @@
     all->heal_network();
     all->run(4s);
     const auto last = all->leader();
-    const bool recorded = last && !all->control(*last).state().crashes().known_lives().empty();
+    const bool recorded =
+        last && !all->control(*last).state().crashes().recorded_incarnations().empty();
     return all->crashes().empty() || recorded ? "" : "the end of a target was never recorded";
 }
 
--- a/tests/state/crash_ledger_test.cpp
+++ b/tests/state/crash_ledger_test.cpp
@@ -21,84 +21,84 @@
 
 TEST_CASE("what runs at three ends in a row is quarantined, what runs at two of them is not") {
     crash_ledger ledger;
-    CHECK(ledger.note_end(11, {cause, bystander}, 0).empty());
+    CHECK(ledger.record_crash(11, {cause, bystander}, 0).empty());
     CHECK(ledger.listed().empty());
-    CHECK(ledger.note_end(12, {cause, bystander}, 0).empty());
+    CHECK(ledger.record_crash(12, {cause, bystander}, 0).empty());
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, false}, {bystander, false}});
-    CHECK(ledger.note_end(13, {cause}, 0) == fingerprints{cause});
+    CHECK(ledger.record_crash(13, {cause}, 0) == fingerprints{cause});
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, true}});
 }
 
 TEST_CASE("ends that a quarantined request explains count against no other") {
     crash_ledger ledger;
     for (const std::uint64_t life : {11, 12}) {
-        ledger.note_end(life, {cause, bystander}, 0);
+        ledger.record_crash(life, {cause, bystander}, 0);
     }
-    CHECK(ledger.note_end(13, {cause}, 0) == fingerprints{cause});
-    ledger.note_end(14, {cause, bystander}, 0); // it was on its way to the target by then
-    CHECK(ledger.note_end(15, {bystander}, 0).empty());
+    CHECK(ledger.record_crash(13, {cause}, 0) == fingerprints{cause});
+    ledger.record_crash(14, {cause, bystander}, 0); // it was on its way to the target by then
+    CHECK(ledger.record_crash(15, {bystander}, 0).empty());
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, true}});
 }
 
 TEST_CASE("of two that ran at the same three ends none is quarantined before one stands out") {
     crash_ledger ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
-        CHECK(ledger.note_end(life, {cause, bystander}, 0).empty());
+        CHECK(ledger.record_crash(life, {cause, bystander}, 0).empty());
     }
-    CHECK(ledger.note_end(14, {cause, bystander + 1}, 0) == fingerprints{cause});
+    CHECK(ledger.record_crash(14, {cause, bystander + 1}, 0) == fingerprints{cause});
 }
 
 TEST_CASE("two that always run together are both quarantined in the end") {
     crash_ledger ledger;
     for (const std::uint64_t life : {11, 12, 13, 14, 15}) {
-        CHECK(ledger.note_end(life, {cause, bystander}, 0).empty());
+        CHECK(ledger.record_crash(life, {cause, bystander}, 0).empty());
     }
-    CHECK(ledger.note_end(16, {cause, bystander}, 0) == fingerprints{cause, bystander});
+    CHECK(ledger.record_crash(16, {cause, bystander}, 0) == fingerprints{cause, bystander});
 }
 
 TEST_CASE("an end that is reported again counts once") {
     crash_ledger ledger;
     for (int i = 0; i < 4; ++i) {
-        CHECK(ledger.note_end(11, {cause}, 0).empty());
+        CHECK(ledger.record_crash(11, {cause}, 0).empty());
     }
     CHECK(ledger.listed().empty());
 }
 
 TEST_CASE("a run to the end clears what was suspected") {
     crash_ledger ledger;
-    ledger.note_end(11, {cause}, 0);
-    ledger.note_end(12, {cause}, 0);
-    CHECK(ledger.acquit(cause));
-    CHECK_FALSE(ledger.acquit(cause));
-    CHECK(ledger.note_end(13, {cause}, 0).empty());
+    ledger.record_crash(11, {cause}, 0);
+    ledger.record_crash(12, {cause}, 0);
+    CHECK(ledger.remove_suspect(cause));
+    CHECK_FALSE(ledger.remove_suspect(cause));
+    CHECK(ledger.record_crash(13, {cause}, 0).empty());
 }
 
 TEST_CASE("after a quarantine one end is enough to bring it back") {
     crash_ledger ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
-        ledger.note_end(life, {cause}, 0);
+        ledger.record_crash(life, {cause}, 0);
     }
     CHECK(ledger.put_on_probation(cause));
     CHECK_FALSE(ledger.put_on_probation(cause));
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, false}});
-    CHECK(ledger.note_end(14, {cause}, 0) == fingerprints{cause});
+    CHECK(ledger.record_crash(14, {cause}, 0) == fingerprints{cause});
 }
 
 TEST_CASE("a suspicion is forgotten with time, a quarantine is not") {
     crash_ledger ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
-        ledger.note_end(life, {cause}, 0);
+        ledger.record_crash(life, {cause}, 0);
     }
-    ledger.note_end(14, {bystander}, 0);
-    ledger.note_end(15, {bystander}, 0);
-    ledger.note_end(16, {}, hour_ms);
+    ledger.record_crash(14, {bystander}, 0);
+    ledger.record_crash(15, {bystander}, 0);
+    ledger.record_crash(16, {}, hour_ms);
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, true}});
 }
 
 TEST_CASE("many ends at once push out suspicions, never a quarantine") {
     crash_ledger ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
-        ledger.note_end(life, {cause}, 0);
+        ledger.record_crash(life, {cause}, 0);
     }
     std::uint64_t next = 1000;
     for (std::uint64_t life = 20; life < 1020; ++life) {
@@ -106,7 +106,7 @@
         for (int i = 0; i < 18; ++i) {
             running.push_back(++next);
         }
-        ledger.note_end(life, running, 1);
+        ledger.record_crash(life, running, 1);
     }
     CHECK(ledger.entries().size() < 5000);
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, true}});
