--- a/include/peppertack/state/crash_ledger.hpp
+++ b/include/peppertack/state/crash_ledger.hpp
@@ -18,8 +18,8 @@
 
 /// What is known of a request that was running when targets ended.
 struct suspect_record {
-    std::vector<std::uint64_t> lives; ///< incarnations that ended while they ran it
-    std::int64_t seen_ms = 0;         ///< wall clock at the last of these
+    std::vector<std::uint64_t> crashed_incarnations; ///< incarnations that ended while they ran it
+    std::int64_t seen_ms = 0;                        ///< wall clock at the last of these
     bool quarantined = false;
 
     friend bool operator==(const suspect_record &, const suspect_record &) = default;
@@ -61,7 +61,7 @@
     }
     /// For snapshots.
     static crash_ledger restored(std::map<std::uint64_t, suspect_record> entries,
-                                 std::deque<std::uint64_t> lives);
+                                 std::deque<std::uint64_t> crashed_incarnations);
 
     friend bool operator==(const crash_ledger &, const crash_ledger &) = default;
 
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -18,11 +18,13 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(audit_head, sequence, hash)
 
 inline void to_json(nlohmann::json &json, const suspect_record &item) {
-    json = {{"lives", item.lives}, {"seen_ms", item.seen_ms}, {"quarantined", item.quarantined}};
+    json = {{"lives", item.crashed_incarnations},
+            {"seen_ms", item.seen_ms},
+            {"quarantined", item.quarantined}};
 }
 
 inline void from_json(const nlohmann::json &json, suspect_record &item) {
-    json.at("lives").get_to(item.lives);
+    json.at("lives").get_to(item.crashed_incarnations);
     json.at("seen_ms").get_to(item.seen_ms);
     json.at("quarantined").get_to(item.quarantined);
 }
--- a/src/state/crash_ledger.cpp
+++ b/src/state/crash_ledger.cpp
@@ -40,7 +40,7 @@
     for (const std::uint64_t fingerprint : running) {
         suspect_record &suspect = m_entries[fingerprint];
         if (suspects.emplace(fingerprint, &suspect).second) {
-            suspect.lives.push_back(life);
+            suspect.crashed_incarnations.push_back(life);
             suspect.seen_ms = wall_ms;
         }
     }
@@ -53,15 +53,16 @@
 
 /// Bystanders of these ends are as good as any other request.
 void crash_ledger::discount_crashes_of(std::uint64_t cause) {
-    const std::vector<std::uint64_t> explained = m_entries.at(cause).lives;
+    const std::vector<std::uint64_t> explained = m_entries.at(cause).crashed_incarnations;
     for (auto &[fingerprint, other] : m_entries) {
         if (!other.quarantined) {
-            std::erase_if(other.lives, [&](std::uint64_t life) {
+            std::erase_if(other.crashed_incarnations, [&](std::uint64_t life) {
                 return std::find(explained.begin(), explained.end(), life) != explained.end();
             });
         }
     }
-    std::erase_if(m_entries, [](const auto &item) { return item.second.lives.empty(); });
+    std::erase_if(m_entries,
+                  [](const auto &item) { return item.second.crashed_incarnations.empty(); });
 }
 
 /// The cause was there at each end, so no bystander has seen more ends than it has.
@@ -69,14 +70,14 @@
 crash_ledger::quarantine_suspects(const std::map<std::uint64_t, suspect_record *> &suspects) {
     std::size_t most = 0;
     for (const auto &[fingerprint, suspect] : suspects) {
-        most = std::max(most, suspect->lives.size());
+        most = std::max(most, suspect->crashed_incarnations.size());
     }
     const auto leading = std::count_if(suspects.begin(), suspects.end(), [&](const auto &item) {
-        return item.second->lives.size() == most;
+        return item.second->crashed_incarnations.size() == most;
     });
     std::vector<std::uint64_t> quarantined;
     for (const auto &[fingerprint, suspect] : suspects) {
-        const std::size_t ends = suspect->lives.size();
+        const std::size_t ends = suspect->crashed_incarnations.size();
         const bool stands_out = ends == most && leading == 1 && ends >= crashes_to_quarantine;
         if (stands_out || ends >= crashes_to_quarantine_regardless) {
             suspect->quarantined = true;
@@ -101,14 +102,14 @@
         return false;
     }
     found->second.quarantined = false;
-    found->second.lives.resize(crashes_to_quarantine - 1);
+    found->second.crashed_incarnations.resize(crashes_to_quarantine - 1);
     return true;
 }
 
 std::vector<suspect_request> crash_ledger::listed() const {
     std::vector<suspect_request> result;
     for (const auto &[fingerprint, suspect] : m_entries) {
-        if (suspect.lives.size() >= crashes_to_list) {
+        if (suspect.crashed_incarnations.size() >= crashes_to_list) {
             result.push_back({fingerprint, suspect.quarantined});
         }
     }
@@ -116,10 +117,10 @@
 }
 
 crash_ledger crash_ledger::restored(std::map<std::uint64_t, suspect_record> entries,
-                                    std::deque<std::uint64_t> lives) {
+                                    std::deque<std::uint64_t> crashed_incarnations) {
     crash_ledger ledger;
     ledger.m_entries = std::move(entries);
-    ledger.m_recorded_incarnations = std::move(lives);
+    ledger.m_recorded_incarnations = std::move(crashed_incarnations);
     return ledger;
 }
 
@@ -131,7 +132,7 @@
     });
     while (m_entries.size() >= max_entries) {
         const auto rank = [](const auto &item) {
-            return std::tuple(item.second.quarantined, item.second.lives.size(),
+            return std::tuple(item.second.quarantined, item.second.crashed_incarnations.size(),
                               item.second.seen_ms);
         };
         m_entries.erase(
--- a/src/transport/control_host.cpp
+++ b/src/transport/control_host.cpp
@@ -605,7 +605,7 @@
         nlohmann::json list = nlohmann::json::array();
         for (const auto &[fingerprint, suspect] : core.state().crashes().entries()) {
             list.push_back({{"fingerprint", fingerprint_text(fingerprint)},
-                            {"ends", suspect.lives.size()},
+                            {"ends", suspect.crashed_incarnations.size()},
                             {"last_end_ms", suspect.seen_ms},
                             {"quarantined", suspect.quarantined}});
         }
