--- a/include/peppertack/state/control_state.hpp
+++ b/include/peppertack/state/control_state.hpp
@@ -76,7 +76,7 @@
     /// Range that holds `hash`, or null if the service is not in the table.
     const range_record *find_range(const std::string &service, std::uint64_t hash) const;
     /// Requests under which targets have ended.
-    const crash_ledger &crashes() const { return m_crashes; }
+    const crash_history &crashes() const { return m_crash_history; }
     /// State version at which what nodes are told of these last changed; zero before the first.
     std::uint64_t suspects_version() const { return m_suspects_version; }
     const audit_head &audit() const { return m_audit; }
@@ -141,7 +141,7 @@
     std::map<std::string, service_ranges> m_ranges;
     service_ranges m_no_ranges; ///< stays empty
     std::deque<std::pair<std::string, change_answer>> m_answers;
-    crash_ledger m_crashes;
+    crash_history m_crash_history;
     std::uint64_t m_suspects_version = 0;
     audit_head m_audit;
     std::deque<touched_item> m_touched;
--- a/include/peppertack/state/crash_ledger.hpp
+++ b/include/peppertack/state/crash_ledger.hpp
@@ -28,7 +28,7 @@
 /// Which requests were running when targets ended. All that ran beside the cause of one end are
 /// under suspicion with it; only the cause is there each time (a query of death). Part of the
 /// replicated state: the same calls give equal ledgers. Not thread safe.
-class crash_ledger {
+class crash_history {
 public:
     /// Lives of targets that have to end under a request until it is quarantined, if no other that
     /// ran beside it has seen as many. Two are met by bystanders that were sent to the next target
@@ -60,10 +60,10 @@
         return m_recorded_incarnations;
     }
     /// For snapshots.
-    static crash_ledger restored(std::map<std::uint64_t, suspect_record> entries,
-                                 std::deque<std::uint64_t> crashed_incarnations);
+    static crash_history restored(std::map<std::uint64_t, suspect_record> entries,
+                                  std::deque<std::uint64_t> crashed_incarnations);
 
-    friend bool operator==(const crash_ledger &, const crash_ledger &) = default;
+    friend bool operator==(const crash_history &, const crash_history &) = default;
 
 private:
     static std::vector<std::uint64_t>
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -532,7 +532,7 @@
 /// lost on the way takes nothing with it.
 void control_core::take_crashes(const renew_request &request, const node_address &from,
                                 renew_reply &reply, moment at) {
-    const crash_ledger &known = m_state.crashes();
+    const crash_history &known = m_state.crashes();
     for (const crash_report &report : request.crashes) {
         if (known.knows(report.life)) {
             reply.crashes_recorded.push_back(report.life);
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -647,13 +647,13 @@
 
 error_kind control_state::apply_body(const report_crash &body, const command &value, note &written,
                                      applied &) {
-    if (m_crashes.has_recorded(body.life)) {
+    if (m_crash_history.has_recorded(body.life)) {
         return error_kind::cancelled; // a repeated report
     }
-    const std::vector<suspect_request> listed = m_crashes.listed();
+    const std::vector<suspect_request> listed = m_crash_history.listed();
     const std::vector<std::uint64_t> quarantined =
-        m_crashes.record_crash(body.life, body.running, value.wall_ms);
-    if (m_crashes.listed() != listed) {
+        m_crash_history.record_crash(body.life, body.running, value.wall_ms);
+    if (m_crash_history.listed() != listed) {
         m_suspects_version = m_version;
     }
     written.subject = body.target;
@@ -665,16 +665,16 @@
 
 error_kind control_state::apply_body(const clear_suspects &body, const command &, note &written,
                                      applied &) {
-    const std::vector<suspect_request> listed = m_crashes.listed();
+    const std::vector<suspect_request> listed = m_crash_history.listed();
     std::vector<std::uint64_t> cleared;
     for (const std::uint64_t fingerprint : body.fingerprints) {
-        const bool known = body.probation ? m_crashes.put_on_probation(fingerprint)
-                                          : m_crashes.remove_suspect(fingerprint);
+        const bool known = body.probation ? m_crash_history.put_on_probation(fingerprint)
+                                          : m_crash_history.remove_suspect(fingerprint);
         if (known) {
             cleared.push_back(fingerprint);
         }
     }
-    if (m_crashes.listed() != listed) {
+    if (m_crash_history.listed() != listed) {
         m_suspects_version = m_version;
     }
     written.subject = "suspect requests";
@@ -699,8 +699,8 @@
                               {"last_number", m_last_number},
                               {"ranges", m_ranges},
                               {"answers", m_answers},
-                              {"crashes", m_crashes.entries()},
-                              {"crashed_lives", m_crashes.recorded_incarnations()},
+                              {"crashes", m_crash_history.entries()},
+                              {"crashed_lives", m_crash_history.recorded_incarnations()},
                               {"suspects_version", m_suspects_version},
                               {"audit", m_audit}};
     return dump(json);
@@ -750,7 +750,7 @@
         json.at("audit").get_to(state.m_audit);
         // Snapshots written before ends of targets were recorded hold none.
         if (json.contains("crashes")) {
-            state.m_crashes = crash_ledger::restored(
+            state.m_crash_history = crash_history::restored(
                 json.at("crashes").get<std::map<std::uint64_t, suspect_record>>(),
                 json.at("crashed_lives").get<std::deque<std::uint64_t>>());
             json.at("suspects_version").get_to(state.m_suspects_version);
--- a/src/state/crash_ledger.cpp
+++ b/src/state/crash_ledger.cpp
@@ -17,9 +17,9 @@
 
 } // namespace
 
-std::vector<std::uint64_t> crash_ledger::record_crash(std::uint64_t life,
-                                                      const std::vector<std::uint64_t> &running,
-                                                      std::int64_t wall_ms) {
+std::vector<std::uint64_t> crash_history::record_crash(std::uint64_t life,
+                                                       const std::vector<std::uint64_t> &running,
+                                                       std::int64_t wall_ms) {
     if (has_recorded(life)) {
         return {};
     }
@@ -52,7 +52,7 @@
 }
 
 /// Bystanders of these ends are as good as any other request.
-void crash_ledger::discount_crashes_of(std::uint64_t cause) {
+void crash_history::discount_crashes_of(std::uint64_t cause) {
     const std::vector<std::uint64_t> explained = m_entries.at(cause).crashed_incarnations;
     for (auto &[fingerprint, other] : m_entries) {
         if (!other.quarantined) {
@@ -67,7 +67,7 @@
 
 /// The cause was there at each end, so no bystander has seen more ends than it has.
 std::vector<std::uint64_t>
-crash_ledger::quarantine_suspects(const std::map<std::uint64_t, suspect_record *> &suspects) {
+crash_history::quarantine_suspects(const std::map<std::uint64_t, suspect_record *> &suspects) {
     std::size_t most = 0;
     for (const auto &[fingerprint, suspect] : suspects) {
         most = std::max(most, suspect->crashed_incarnations.size());
@@ -87,16 +87,16 @@
     return quarantined;
 }
 
-bool crash_ledger::has_recorded(std::uint64_t life) const {
+bool crash_history::has_recorded(std::uint64_t life) const {
     return std::find(m_recorded_incarnations.begin(), m_recorded_incarnations.end(), life) !=
            m_recorded_incarnations.end();
 }
 
-bool crash_ledger::remove_suspect(std::uint64_t fingerprint) {
+bool crash_history::remove_suspect(std::uint64_t fingerprint) {
     return m_entries.erase(fingerprint) != 0;
 }
 
-bool crash_ledger::put_on_probation(std::uint64_t fingerprint) {
+bool crash_history::put_on_probation(std::uint64_t fingerprint) {
     const auto found = m_entries.find(fingerprint);
     if (found == m_entries.end() || !found->second.quarantined) {
         return false;
@@ -106,7 +106,7 @@
     return true;
 }
 
-std::vector<suspect_request> crash_ledger::listed() const {
+std::vector<suspect_request> crash_history::listed() const {
     std::vector<suspect_request> result;
     for (const auto &[fingerprint, suspect] : m_entries) {
         if (suspect.crashed_incarnations.size() >= crashes_to_list) {
@@ -116,9 +116,9 @@
     return result;
 }
 
-crash_ledger crash_ledger::restored(std::map<std::uint64_t, suspect_record> entries,
-                                    std::deque<std::uint64_t> crashed_incarnations) {
-    crash_ledger ledger;
+crash_history crash_history::restored(std::map<std::uint64_t, suspect_record> entries,
+                                      std::deque<std::uint64_t> crashed_incarnations) {
+    crash_history ledger;
     ledger.m_entries = std::move(entries);
     ledger.m_recorded_incarnations = std::move(crashed_incarnations);
     return ledger;
@@ -126,7 +126,7 @@
 
 /// A quarantine outlives suspicions: only an operator, a run to the end or the leader's clock ends
 /// it.
-void crash_ledger::evict_expired(std::int64_t wall_ms) {
+void crash_history::evict_expired(std::int64_t wall_ms) {
     std::erase_if(m_entries, [&](const auto &item) {
         return !item.second.quarantined && item.second.seen_ms + suspect_retention_ms < wall_ms;
     });
--- a/tests/state/crash_ledger_test.cpp
+++ b/tests/state/crash_ledger_test.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 TEST_CASE("what runs at three ends in a row is quarantined, what runs at two of them is not") {
-    crash_ledger ledger;
+    crash_history ledger;
     CHECK(ledger.record_crash(11, {cause, bystander}, 0).empty());
     CHECK(ledger.listed().empty());
     CHECK(ledger.record_crash(12, {cause, bystander}, 0).empty());
@@ -30,7 +30,7 @@
 }
 
 TEST_CASE("ends that a quarantined request explains count against no other") {
-    crash_ledger ledger;
+    crash_history ledger;
     for (const std::uint64_t life : {11, 12}) {
         ledger.record_crash(life, {cause, bystander}, 0);
     }
@@ -41,7 +41,7 @@
 }
 
 TEST_CASE("of two that ran at the same three ends none is quarantined before one stands out") {
-    crash_ledger ledger;
+    crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
         CHECK(ledger.record_crash(life, {cause, bystander}, 0).empty());
     }
@@ -49,7 +49,7 @@
 }
 
 TEST_CASE("two that always run together are both quarantined in the end") {
-    crash_ledger ledger;
+    crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13, 14, 15}) {
         CHECK(ledger.record_crash(life, {cause, bystander}, 0).empty());
     }
@@ -57,7 +57,7 @@
 }
 
 TEST_CASE("an end that is reported again counts once") {
-    crash_ledger ledger;
+    crash_history ledger;
     for (int i = 0; i < 4; ++i) {
         CHECK(ledger.record_crash(11, {cause}, 0).empty());
     }
@@ -65,7 +65,7 @@
 }
 
 TEST_CASE("a run to the end clears what was suspected") {
-    crash_ledger ledger;
+    crash_history ledger;
     ledger.record_crash(11, {cause}, 0);
     ledger.record_crash(12, {cause}, 0);
     CHECK(ledger.remove_suspect(cause));
@@ -74,7 +74,7 @@
 }
 
 TEST_CASE("after a quarantine one end is enough to bring it back") {
-    crash_ledger ledger;
+    crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
         ledger.record_crash(life, {cause}, 0);
     }
@@ -85,7 +85,7 @@
 }
 
 TEST_CASE("a suspicion is forgotten with time, a quarantine is not") {
-    crash_ledger ledger;
+    crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
         ledger.record_crash(life, {cause}, 0);
     }
@@ -96,7 +96,7 @@
 }
 
 TEST_CASE("many ends at once push out suspicions, never a quarantine") {
-    crash_ledger ledger;
+    crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
         ledger.record_crash(life, {cause}, 0);
     }
