--- a/include/peppertack/coordination/messages.hpp
+++ b/include/peppertack/coordination/messages.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peppertack/state/crash_ledger.hpp"
+#include "peppertack/state/crash_history.hpp"
 #include "peppertack/state/durable_log.hpp"
 #include "peppertack/state/error_kind.hpp"
 #include "peppertack/state/records.hpp"
--- a/include/peppertack/coordination/suspect_list.hpp
+++ b/include/peppertack/coordination/suspect_list.hpp
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "peppertack/state/crash_ledger.hpp"
+#include "peppertack/state/crash_history.hpp"
 
 #include <cstdint>
 #include <unordered_map>
--- a/include/peppertack/state/control_state.hpp
+++ b/include/peppertack/state/control_state.hpp
@@ -2,7 +2,7 @@
 
 #include "peppertack/state/audit_record.hpp"
 #include "peppertack/state/command.hpp"
-#include "peppertack/state/crash_ledger.hpp"
+#include "peppertack/state/crash_history.hpp"
 #include "peppertack/state/error_kind.hpp"
 #include "peppertack/state/records.hpp"
 #include "peppertack/state/routing_table.hpp"
--- a/src/state/crash_ledger.cpp
+++ b/src/state/crash_history.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/state/crash_ledger.hpp"
+#include "peppertack/state/crash_history.hpp"
 
 #include <algorithm>
 #include <tuple>
--- a/tests/state/crash_ledger_test.cpp
+++ b/tests/state/crash_history_test.cpp
@@ -1,5 +1,5 @@
 #include "peppertack/state/control_state.hpp"
-#include "peppertack/state/crash_ledger.hpp"
+#include "peppertack/state/crash_history.hpp"
 
 #include <doctest/doctest.h>
 
