--- a/include/peppertack/state/control_state.hpp
+++ b/include/peppertack/state/control_state.hpp
@@ -66,7 +66,7 @@
     /// Whether targets of the service are taken on: the table or the routing table names it.
     bool has_service(const std::string &service) const;
     /// Whether the service's keys are ordered numbers: its ranges are cut only between two keys.
-    bool ordered_keys(const std::string &service) const;
+    bool has_ordered_keys(const std::string &service) const;
     const std::map<target_number, target_record> &targets() const { return m_targets; }
     /// Targets of a service that have not ended, in order of their numbers.
     const std::set<target_number> &live_targets(const std::string &service) const;
--- a/include/peppertack/state/key_hash.hpp
+++ b/include/peppertack/state/key_hash.hpp
@@ -11,20 +11,20 @@
 /// range bounds in the durable log refer to it. Thread safe.
 std::uint64_t key_hash(std::string_view key);
 
-/// Ordered keys are the numbers from 0 to `most_ordered_key`. Each takes an equal part of the
+/// Ordered keys are the numbers from 0 to `max_ordered_key`. Each takes an equal part of the
 /// 64-bit key space, so that neighbours stay neighbours and ranges work on them as on hashes.
-inline constexpr std::uint32_t most_ordered_key = 65535;
-inline constexpr std::uint64_t ordered_key_distance = 1ULL << 48U;
-static_assert((most_ordered_key + 1ULL) * (ordered_key_distance >> 32U) == 1ULL << 32U,
+inline constexpr std::uint32_t max_ordered_key = 65535;
+inline constexpr std::uint64_t ordered_key_stride = 1ULL << 48U;
+static_assert((max_ordered_key + 1ULL) * (ordered_key_stride >> 32U) == 1ULL << 32U,
               "ordered keys fill the key space");
 
-/// Position of the ordered key `number` in the key space. Precondition: at most `most_ordered_key`.
+/// Position of the ordered key `number` in the key space. Precondition: at most `max_ordered_key`.
 constexpr std::uint64_t ordered_key_hash(std::uint32_t number) {
-    return number * ordered_key_distance;
+    return number * ordered_key_stride;
 }
 /// The ordered key at, or before, a position in the key space.
 constexpr std::uint32_t ordered_key_at(std::uint64_t hash) {
-    return static_cast<std::uint32_t>(hash / ordered_key_distance);
+    return static_cast<std::uint32_t>(hash / ordered_key_stride);
 }
 
 /// Fingerprint of a request's method, path and body: equal for requests that ask for the same. It
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -710,7 +710,7 @@
 
 placement_view control_core::view_of(const std::string &service) const {
     placement_view view;
-    view.key_distance = m_state.ordered_keys(service) ? ordered_key_distance : 1;
+    view.key_distance = m_state.has_ordered_keys(service) ? ordered_key_stride : 1;
     view.ranges = &m_state.ranges().at(service);
     const std::set<target_number> &numbers = m_state.live_targets(service);
     std::map<std::string, std::size_t> in_domain;
@@ -732,12 +732,12 @@
             target.weight = row->weight / static_cast<double>(in_domain[record.failure_domain]);
             view.churn_price = row->churn_price;
             view.unavailable_price = row->unavailable_price;
-        } else if (serving && m_state.ordered_keys(service)) {
+        } else if (serving && m_state.has_ordered_keys(service)) {
             target.weight = 1; // only the routing table names it: all targets count alike
         }
         view.targets.push_back(std::move(target));
     }
-    if (m_state.ordered_keys(service)) {
+    if (m_state.has_ordered_keys(service)) {
         m_loads.weigh_by_capacity(view);
     }
     m_loads.describe(service, view);
@@ -811,7 +811,7 @@
 }
 
 void control_core::choose_standbys(const std::string &service, moment at) {
-    if (m_state.ordered_keys(service)) {
+    if (m_state.has_ordered_keys(service)) {
         return; // its requests carry no idempotency keys to be remembered
     }
     const std::set<target_number> &numbers = m_state.live_targets(service);
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -249,7 +249,7 @@
     return m_table.has_service(service) || m_routes.services.count(service) != 0;
 }
 
-bool control_state::ordered_keys(const std::string &service) const {
+bool control_state::has_ordered_keys(const std::string &service) const {
     const auto found = m_routes.services.find(service);
     return found != m_routes.services.end() && found->second.keyed;
 }
@@ -319,7 +319,7 @@
     range.handover.clear();
     // Requests to services with ordered keys carry no idempotency keys: there is nothing to
     // restore.
-    if (range.memory == range_memory::lost || ordered_keys(owner.service)) {
+    if (range.memory == range_memory::lost || has_ordered_keys(owner.service)) {
         return;
     }
     const target_record *standby = find_target(owner.standby);
--- a/src/transport/traffic/entry_relay.cpp
+++ b/src/transport/traffic/entry_relay.cpp
@@ -129,7 +129,7 @@
     }
     const std::string *text = m_caller->request().find(m_host.options().headers.key);
     const auto number = text == nullptr ? std::nullopt : parse_decimal(*text);
-    if (!number || *number > most_ordered_key) {
+    if (!number || *number > max_ordered_key) {
         deny_by_table(error_kind::malformed_request); // another table may ask for no key
         return false;
     }
--- a/tests/state/routing_table_test.cpp
+++ b/tests/state/routing_table_test.cpp
@@ -104,8 +104,8 @@
     control_state state;
     CHECK(state.apply(1, change(0, sample_routing(3), "first")).error == error_kind::none);
     CHECK(state.routes().version == 3);
-    CHECK(state.ordered_keys("a"));
-    CHECK_FALSE(state.ordered_keys("b"));
+    CHECK(state.has_ordered_keys("a"));
+    CHECK_FALSE(state.has_ordered_keys("b"));
     CHECK(state.ranges().count("a") == 1);
     CHECK(state.ranges().count("b") == 0);
     CHECK(state.apply(2, change(0, sample_routing(4), "second")).error ==
@@ -152,6 +152,6 @@
 TEST_CASE("ordered keys fill the key space in order") {
     CHECK(ordered_key_hash(0) == 0);
     CHECK(ordered_key_at(ordered_key_hash(12345)) == 12345);
-    CHECK(ordered_key_at(~0ULL) == most_ordered_key);
+    CHECK(ordered_key_at(~0ULL) == max_ordered_key);
     CHECK(ordered_key_at(ordered_key_hash(7) - 1) == 6);
 }
