--- a/include/peppertack/state/packed_text.hpp
+++ b/include/peppertack/state/packed_text.hpp
@@ -9,9 +9,9 @@
 
 /// Deflates text. A routing table of 1,400 rows shrinks to a tenth, which decides whether a leader
 /// behind a link of 170 Mbit/s can tell a hundred nodes of it within a second. Thread safe.
-std::string pack(std::string_view text);
-/// Inflates what `pack` made. Yields nothing for anything else, and for text of more than `most`
-/// bytes. Thread safe.
-std::optional<std::string> unpack(std::string_view packed, std::size_t most);
+std::string compress_text(std::string_view text);
+/// Inflates what `compress_text` made. Yields nothing for anything else, and for text of more than
+/// `most` bytes. Thread safe.
+std::optional<std::string> decompress_text(std::string_view packed, std::size_t most);
 
 } // namespace peppertack
--- a/src/coordination/lease_client.cpp
+++ b/src/coordination/lease_client.cpp
@@ -292,7 +292,7 @@
     if (reply.routes_version <= m_routes.version || reply.routes.empty()) {
         return;
     }
-    const std::optional<std::string> text = unpack(reply.routes, most_routing_bytes);
+    const std::optional<std::string> text = decompress_text(reply.routes, most_routing_bytes);
     std::string reason = text ? "made for another version" : "damaged or too large";
     const std::optional<routing_delta> delta = text ? decode_delta(*text, reason) : std::nullopt;
     std::optional<routing_table> next = delta ? apply(m_routes, *delta) : std::nullopt;
--- a/src/coordination/routing_history.cpp
+++ b/src/coordination/routing_history.cpp
@@ -40,7 +40,7 @@
     const auto found = m_packed.find(version);
     return found != m_packed.end()
                ? found->second
-               : m_packed.emplace(version, pack(encode(delta_since(version, current))))
+               : m_packed.emplace(version, compress_text(encode(delta_since(version, current))))
                      .first->second;
 }
 
--- a/src/state/packed_text.cpp
+++ b/src/state/packed_text.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-std::string pack(std::string_view text) {
+std::string compress_text(std::string_view text) {
     uLongf size = compressBound(text.size());
     std::string packed(size, '\0');
     const int result = compress2(reinterpret_cast<Bytef *>(packed.data()), &size,
@@ -22,7 +22,7 @@
     return packed;
 }
 
-std::optional<std::string> unpack(std::string_view packed, std::size_t most) {
+std::optional<std::string> decompress_text(std::string_view packed, std::size_t most) {
     z_stream stream{};
     if (inflateInit(&stream) != Z_OK) {
         return std::nullopt;
--- a/tests/coordination/lease_client_test.cpp
+++ b/tests/coordination/lease_client_test.cpp
@@ -64,7 +64,7 @@
     const instant start(1000s);
     const routing_table routing{.version = 4};
     renew_reply reply{.sequence = node.ask(start), .is_leader = true, .routes_version = 4};
-    reply.routes = pack(encode(routing));
+    reply.routes = compress_text(encode(routing));
     CHECK(!lease.routes_trusted(start));
     lease.receive("a:1", reply, {start + 400ms, 0});
     REQUIRE(lease.routes().version == 4);
@@ -128,7 +128,7 @@
                         .number = 7,
                         .lease = options.lease.length,
                         .routes_version = 4};
-    held_up.routes = pack(encode(routing));
+    held_up.routes = compress_text(encode(routing));
 
     lease_client after(restarted);
     ask(after, start + 5s);
--- a/tests/coordination/routing_history_test.cpp
+++ b/tests/coordination/routing_history_test.cpp
@@ -25,7 +25,7 @@
 
 std::optional<routing_table> follow(const routing_table &held, const std::string &packed) {
     std::string reason;
-    const auto text = unpack(packed, 1U << 24U);
+    const auto text = decompress_text(packed, 1U << 24U);
     const auto delta = text ? decode_delta(*text, reason) : std::nullopt;
     return delta ? apply(held, *delta) : std::nullopt;
 }
--- a/tests/state/routing_delta_test.cpp
+++ b/tests/state/routing_delta_test.cpp
@@ -86,13 +86,13 @@
     for (int i = 0; i < 20'000; ++i) {
         text += "row " + std::to_string(i) + ",";
     }
-    const std::string packed = pack(text);
+    const std::string packed = compress_text(text);
     CHECK(packed.size() < text.size() / 3);
-    CHECK(unpack(packed, text.size()) == text);
-    CHECK(unpack(pack(""), 10) == "");
-    CHECK_FALSE(unpack(packed, text.size() - 1));
-    CHECK_FALSE(unpack(packed.substr(0, packed.size() - 1), text.size()));
-    CHECK_FALSE(unpack(packed + "x", text.size()));
-    CHECK_FALSE(unpack("not packed", 100));
-    CHECK_FALSE(unpack("", 100));
+    CHECK(decompress_text(packed, text.size()) == text);
+    CHECK(decompress_text(compress_text(""), 10) == "");
+    CHECK_FALSE(decompress_text(packed, text.size() - 1));
+    CHECK_FALSE(decompress_text(packed.substr(0, packed.size() - 1), text.size()));
+    CHECK_FALSE(decompress_text(packed + "x", text.size()));
+    CHECK_FALSE(decompress_text("not packed", 100));
+    CHECK_FALSE(decompress_text("", 100));
 }
--- a/tests/transport/node_agent_test.cpp
+++ b/tests/transport/node_agent_test.cpp
@@ -41,7 +41,7 @@
         reply.sequence = asked;
         reply.is_leader = true;
         reply.routes_version = routing.version;
-        reply.routes = pack(encode(difference({}, routing)));
+        reply.routes = compress_text(encode(difference({}, routing)));
         agent.receive("a:1", reply, {now, 0});
     }
 
--- a/tests/transport/node_under_test.hpp
+++ b/tests/transport/node_under_test.hpp
@@ -150,7 +150,7 @@
                           .number = number,
                           .lease = 30s,
                           .routes_version = 1,
-                          .routes = pack(encode(difference({}, both_services()))),
+                          .routes = compress_text(encode(difference({}, both_services()))),
                           .map = {.to = 1, .as_of = 1, .targets = targets}};
         reply.map.services = {{.service = keyed, .whole = true, .ranges = {{.owner = old_number}}}};
         m_host.receive(voter, reply);
@@ -243,7 +243,7 @@
         m_host.receive(voter, renew_reply{.sequence = m_renewals.back().sequence,
                                           .is_leader = true,
                                           .routes_version = 1,
-                                          .routes = pack(encode(both_services()))});
+                                          .routes = compress_text(encode(both_services()))});
     }
 
     void note(const outgoing &item) {
