--- a/src/coordination/lease_client.cpp
+++ b/src/coordination/lease_client.cpp
@@ -3,8 +3,8 @@
 #include "peppertack/coordination/planted_defects.hpp"
 #include "peppertack/coordination/target_life.hpp"
 #include "peppertack/coordination/voter_roster.hpp"
-#include "peppertack/state/packed_text.hpp"
 #include "peppertack/state/routing_delta.hpp"
+#include "peppertack/state/text_compression.hpp"
 
 #include <algorithm>
 #include <cassert>
--- a/src/coordination/routing_history.cpp
+++ b/src/coordination/routing_history.cpp
@@ -1,6 +1,6 @@
 #include "peppertack/coordination/routing_history.hpp"
 
-#include "peppertack/state/packed_text.hpp"
+#include "peppertack/state/text_compression.hpp"
 
 #include <algorithm>
 
--- a/src/state/packed_text.cpp
+++ b/src/state/text_compression.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/state/packed_text.hpp"
+#include "peppertack/state/text_compression.hpp"
 
 #include <array>
 #include <zlib.h>
--- a/tests/coordination/lease_client_test.cpp
+++ b/tests/coordination/lease_client_test.cpp
@@ -1,6 +1,6 @@
 #include "peppertack/coordination/lease_client.hpp"
-#include "peppertack/state/packed_text.hpp"
 #include "peppertack/state/routing_delta.hpp"
+#include "peppertack/state/text_compression.hpp"
 
 #include <doctest/doctest.h>
 
--- a/tests/coordination/routing_history_test.cpp
+++ b/tests/coordination/routing_history_test.cpp
@@ -1,6 +1,6 @@
 #include "peppertack/coordination/control_core.hpp"
 #include "peppertack/coordination/routing_history.hpp"
-#include "peppertack/state/packed_text.hpp"
+#include "peppertack/state/text_compression.hpp"
 
 #include <doctest/doctest.h>
 
--- a/tests/state/routing_delta_test.cpp
+++ b/tests/state/routing_delta_test.cpp
@@ -1,5 +1,5 @@
-#include "peppertack/state/packed_text.hpp"
 #include "peppertack/state/routing_delta.hpp"
+#include "peppertack/state/text_compression.hpp"
 
 #include <doctest/doctest.h>
 #include <random>
--- a/tests/transport/node_agent_test.cpp
+++ b/tests/transport/node_agent_test.cpp
@@ -1,6 +1,6 @@
 #include "peppertack/protocol/error_answer.hpp"
-#include "peppertack/state/packed_text.hpp"
 #include "peppertack/state/routing_delta.hpp"
+#include "peppertack/state/text_compression.hpp"
 #include "peppertack/transport/traffic/node_agent.hpp"
 
 #include <doctest/doctest.h>
--- a/tests/transport/node_under_test.hpp
+++ b/tests/transport/node_under_test.hpp
@@ -3,8 +3,8 @@
 #include "local_cluster.hpp"
 #include "peppertack/protocol/error_answer.hpp"
 #include "peppertack/protocol/hop_header.hpp"
-#include "peppertack/state/packed_text.hpp"
 #include "peppertack/state/routing_delta.hpp"
+#include "peppertack/state/text_compression.hpp"
 #include "peppertack/transport/http/whole_request.hpp"
 #include "peppertack/transport/traffic/traffic_host.hpp"
 
