--- a/include/peppertack/state/control_state.hpp
+++ b/include/peppertack/state/control_state.hpp
@@ -30,7 +30,7 @@
 };
 
 /// Where one range record is: nodes are sent what has been touched since the version they hold.
-struct touched_item {
+struct change_feed_item {
     std::uint64_t version = 0;
     std::string service; ///< empty: a target was touched
     std::uint64_t first = 0;
@@ -81,7 +81,7 @@
     std::uint64_t suspects_version() const { return m_suspects_version; }
     const audit_head &audit() const { return m_audit; }
     /// What changed after `version`; nothing if that is too long ago and a full map is needed.
-    std::optional<std::vector<touched_item>> touched_since(std::uint64_t version) const;
+    std::optional<std::vector<change_feed_item>> changes_since(std::uint64_t version) const;
     /// Answer given earlier to a change id, if it is remembered.
     std::optional<change_answer> earlier_answer(const std::string &change_id) const;
 
@@ -119,8 +119,8 @@
     std::size_t expire(target_record &record, std::int64_t wall_ms);
     range_record *range_at(const std::string &service, std::uint64_t first);
     target_record *live_target(target_number number);
-    void touch_range(const std::string &service, std::uint64_t first);
-    void touch_target(target_number number);
+    void record_range_change(const std::string &service, std::uint64_t first);
+    void record_target_change(target_number number);
     void lose_owner(range_record &range, const target_record &owner, std::int64_t wall_ms);
     void cancel_moves_to(const target_record &record);
     void prune_targets();
@@ -144,8 +144,8 @@
     crash_history m_crash_history;
     std::uint64_t m_suspects_version = 0;
     audit_head m_audit;
-    std::deque<touched_item> m_touched;
-    std::uint64_t m_touched_from = 0; ///< the feed is complete for versions above this
+    std::deque<change_feed_item> m_change_feed;
+    std::uint64_t m_feed_base_version = 0; ///< the feed is complete for versions above this
 };
 
 } // namespace peppertack
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -626,14 +626,14 @@
     if (m_state.version() == m_last_pushed) {
         return;
     }
-    const auto touched = m_state.touched_since(m_last_pushed);
+    const auto touched = m_state.changes_since(m_last_pushed);
     m_last_pushed = m_state.version();
     const bool many_nodes = m_nodes.size() >= m_options.push_to_all_below;
     if (!touched || touched->empty() || (many_nodes && touched->size() > m_options.push_items)) {
         return;
     }
     std::set<target_number> concerned;
-    for (const touched_item &item : *touched) {
+    for (const change_feed_item &item : *touched) {
         concerned.insert(item.number);
         if (const range_record *range = m_state.find_range(item.service, item.first)) {
             concerned.insert({range->owner, range->next});
@@ -690,14 +690,14 @@
 /// loads change without a decision.
 std::set<std::string> control_core::services_to_place(bool balance_due) const {
     std::set<std::string> services;
-    const auto touched = m_state.touched_since(m_last_placed);
+    const auto touched = m_state.changes_since(m_last_placed);
     if (balance_due || !touched) {
         for (const auto &[service, ranges] : m_state.ranges()) {
             services.insert(service);
         }
         return services;
     }
-    for (const touched_item &item : *touched) {
+    for (const change_feed_item &item : *touched) {
         const target_record *record = m_state.find_target(item.number);
         if (!item.service.empty()) {
             services.insert(item.service);
--- a/src/coordination/map_updates.cpp
+++ b/src/coordination/map_updates.cpp
@@ -48,7 +48,7 @@
 }
 
 map_update map_updates::make_since(std::uint64_t version) const {
-    auto touched = version == 0 ? std::nullopt : m_state.touched_since(version);
+    auto touched = version == 0 ? std::nullopt : m_state.changes_since(version);
     if (!touched || version > m_state.version()) {
         return whole();
     }
@@ -58,11 +58,12 @@
         // is touched after `to` is sent again. The rest comes with the next renewals, so that after
         // the loss of a failure domain no node takes more than its share of the leader.
         update.to = (*touched)[m_most_items].version;
-        std::erase_if(*touched, [&](const touched_item &item) { return item.version > update.to; });
+        std::erase_if(*touched,
+                      [&](const change_feed_item &item) { return item.version > update.to; });
     }
     std::set<target_number> targets;
     std::map<std::string, std::set<std::uint64_t>> ranges;
-    for (const touched_item &item : *touched) {
+    for (const change_feed_item &item : *touched) {
         if (item.service.empty()) {
             targets.insert(item.number);
         } else {
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -33,7 +33,7 @@
 
 constexpr int state_version = 1;
 constexpr std::size_t remembered_answers = 50'000; ///< about three days at 17,000 changes a day
-constexpr std::size_t touched_limit = 250'000;
+constexpr std::size_t max_change_feed_items = 250'000;
 constexpr std::size_t kept_ended_targets = 1'000;
 constexpr unsigned initial_range_bits = 6; ///< 64 ranges: about 16 a target for small services
 
@@ -96,14 +96,15 @@
     return &*position_of(const_cast<service_ranges &>(found->second), hash);
 }
 
-std::optional<std::vector<touched_item>> control_state::touched_since(std::uint64_t version) const {
-    if (version < m_touched_from) {
+std::optional<std::vector<change_feed_item>>
+control_state::changes_since(std::uint64_t version) const {
+    if (version < m_feed_base_version) {
         return std::nullopt;
     }
     const auto from = std::upper_bound(
-        m_touched.begin(), m_touched.end(), version,
-        [](std::uint64_t value, const touched_item &item) { return value < item.version; });
-    return std::vector<touched_item>(from, m_touched.end());
+        m_change_feed.begin(), m_change_feed.end(), version,
+        [](std::uint64_t value, const change_feed_item &item) { return value < item.version; });
+    return std::vector<change_feed_item>(from, m_change_feed.end());
 }
 
 std::optional<change_answer> control_state::earlier_answer(const std::string &change_id) const {
@@ -164,17 +165,17 @@
     return &found->second;
 }
 
-void control_state::touch_range(const std::string &service, std::uint64_t first) {
-    m_touched.push_back({m_version, service, first, no_target});
-    while (m_touched.size() > touched_limit) {
-        m_touched_from = m_touched.front().version;
-        m_touched.pop_front();
+void control_state::record_range_change(const std::string &service, std::uint64_t first) {
+    m_change_feed.push_back({m_version, service, first, no_target});
+    while (m_change_feed.size() > max_change_feed_items) {
+        m_feed_base_version = m_change_feed.front().version;
+        m_change_feed.pop_front();
     }
 }
 
-void control_state::touch_target(target_number number) {
-    touch_range({}, 0);
-    m_touched.back().number = number;
+void control_state::record_target_change(target_number number) {
+    record_range_change({}, 0);
+    m_change_feed.back().number = number;
 }
 
 error_kind control_state::apply_body(const change_table &body, const command &value, note &written,
@@ -241,7 +242,7 @@
     }
     for (std::uint64_t i = 0; i < count; ++i) {
         ranges.push_back({.first = i << (64U - initial_range_bits)});
-        touch_range(service, ranges.back().first);
+        record_range_change(service, ranges.back().first);
     }
 }
 
@@ -308,7 +309,7 @@
     written.after = dump(nlohmann::json(record));
     m_targets[record.number] = record;
     m_live[record.service].insert(record.number);
-    touch_target(record.number);
+    record_target_change(record.number);
     return error_kind::none;
 }
 
@@ -350,7 +351,7 @@
     for (range_record &range : ranges_of(record)) {
         if (range.next == record.number) {
             range.next = no_target;
-            touch_range(record.service, range.first);
+            record_range_change(record.service, range.first);
         }
     }
 }
@@ -362,7 +363,7 @@
             other.standby = no_target;
             other.standby_ready = false;
             other.standby_epoch = m_version;
-            touch_target(number);
+            record_target_change(number);
         }
     }
 }
@@ -371,7 +372,7 @@
     record.phase = target_phase::gone;
     m_live[record.service].erase(record.number);
     drop_standby_of(record);
-    touch_target(record.number);
+    record_target_change(record.number);
 }
 
 /// Ends a registration and frees its ranges; yields how many.
@@ -384,11 +385,11 @@
             range.recover_from = no_target;
             range.recover_of = no_target;
             range.lost_at_ms = wall_ms;
-            touch_range(record.service, range.first);
+            record_range_change(record.service, range.first);
         }
         if (range.owner == record.number) {
             lose_owner(range, record, wall_ms);
-            touch_range(record.service, range.first);
+            record_range_change(record.service, range.first);
             ++lost;
         }
     }
@@ -460,7 +461,7 @@
     }
     record->phase = target_phase::draining;
     cancel_moves_to(*record);
-    touch_target(body.number);
+    record_target_change(body.number);
     written.subject = record->name;
     written.before = "serving";
     written.after = "draining";
@@ -497,7 +498,7 @@
         }
         range->owner = choice.to;
         range->token = m_version;
-        touch_range(body.service, range->first);
+        record_range_change(body.service, range->first);
         done.push_back(choice);
     }
     written.subject = body.service;
@@ -521,7 +522,7 @@
         }
         before.push_back({range->first, range->owner});
         range->next = choice.to;
-        touch_range(body.service, range->first);
+        record_range_change(body.service, range->first);
         done.push_back(choice);
     }
     written.subject = body.service;
@@ -548,7 +549,7 @@
         range->recover_from = no_target;
         range->recover_of = no_target;
     }
-    touch_range(body.service, range->first);
+    record_range_change(body.service, range->first);
     written.after = dump(nlohmann::json(*range));
     return error_kind::none;
 }
@@ -567,8 +568,8 @@
     upper.first = body.at;
     written.subject = range_subject(body.service, place->first);
     written.after = "cut at " + std::to_string(body.at);
-    touch_range(body.service, place->first);
-    touch_range(body.service, body.at);
+    record_range_change(body.service, place->first);
+    record_range_change(body.service, body.at);
     found->second.insert(std::next(place), upper);
     return error_kind::none;
 }
@@ -593,8 +594,8 @@
     lower.token = std::max(lower.token, place->token);
     written.subject = range_subject(body.service, body.first);
     written.after = "joined to " + std::to_string(std::prev(place)->first);
-    touch_range(body.service, body.first);
-    touch_range(body.service, std::prev(place)->first);
+    record_range_change(body.service, body.first);
+    record_range_change(body.service, std::prev(place)->first);
     found->second.erase(place);
     return error_kind::none;
 }
@@ -622,7 +623,7 @@
     record->standby_ready = body.ready;
     record->standby_epoch = body.ready ? body.epoch : m_version;
     written.after = std::to_string(record->standby) + (record->standby_ready ? " ready" : "");
-    touch_target(body.number);
+    record_target_change(body.number);
     return error_kind::none;
 }
 
@@ -641,7 +642,7 @@
     range->recover_from = no_target;
     range->recover_of = no_target;
     range->lost_at_ms = 0;
-    touch_range(body.service, range->first);
+    record_range_change(body.service, range->first);
     return error_kind::none;
 }
 
@@ -755,7 +756,7 @@
                 json.at("crashed_lives").get<std::deque<std::uint64_t>>());
             json.at("suspects_version").get_to(state.m_suspects_version);
         }
-        state.m_touched_from = state.m_version;
+        state.m_feed_base_version = state.m_version;
         for (const auto &[service, ranges] : state.m_ranges) {
             const bool sorted = std::is_sorted(
                 ranges.begin(), ranges.end(),
