--- a/include/peppertack/state/command.hpp
+++ b/include/peppertack/state/command.hpp
@@ -134,7 +134,7 @@
     /// What the decision was made on. A report of an owner that was lost meanwhile is void, though
     /// the token is still the same: what it had restored went with it.
     target_number owner = no_target;
-    range_memory was = range_memory::complete;
+    idempotency_state was = idempotency_state::complete;
 
     friend bool operator==(const restore_memory &, const restore_memory &) = default;
 };
--- a/include/peppertack/state/records.hpp
+++ b/include/peppertack/state/records.hpp
@@ -38,7 +38,7 @@
 };
 
 /// Whether an owner knows every idempotency key that former owners of the range have run.
-enum class range_memory : std::uint8_t {
+enum class idempotency_state : std::uint8_t {
     complete, ///< nothing ran elsewhere, or it was handed over
     fetch,    ///< the standby of the lost owner has it: `recover_from`
     lost,     ///< owner and standby were lost: resends can't be told from first attempts
@@ -50,7 +50,7 @@
     target_number owner = no_target;
     fencing_token token = 0;
     target_number next = no_target; ///< destination of a planned move
-    range_memory memory = range_memory::complete;
+    idempotency_state memory = idempotency_state::complete;
     target_number recover_from = no_target; ///< target whose node holds the standby copy
     target_number recover_of = no_target;   ///< the lost owner the copy is of
     std::int64_t lost_at_ms = 0;            ///< wall time of the loss, for memory == lost
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -500,10 +500,10 @@
     for (const range_report &report : request.restored) {
         const range_record *range = m_state.find_range(report.service, report.first);
         if (range != nullptr && range->first == report.first && range->token == report.token &&
-            range->owner == record.number && range->memory == range_memory::fetch) {
+            range->owner == record.number && range->memory == idempotency_state::fetch) {
             propose(at, actor, "remembered keys restored",
                     restore_memory{report.service, report.first, report.token, record.number,
-                                   range_memory::fetch});
+                                   idempotency_state::fetch});
         }
     }
     if (request.standby_epoch == record.standby_epoch && record.standby != no_target) {
@@ -865,11 +865,11 @@
         std::chrono::duration_cast<std::chrono::milliseconds>(m_options.key_retention).count();
     for (const auto &[service, ranges] : m_state.ranges()) {
         for (const range_record &range : ranges) {
-            if (range.memory == range_memory::lost && range.owner != no_target &&
+            if (range.memory == idempotency_state::lost && range.owner != no_target &&
                 range.lost_at_ms + retention_ms < at.wall_ms) {
                 propose(at, placement_actor, "retention of lost keys has passed",
                         restore_memory{service, range.first, range.token, range.owner,
-                                       range_memory::lost});
+                                       idempotency_state::lost});
             }
         }
     }
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -375,8 +375,8 @@
         const range_record &low = ranges[i - 1];
         const range_record &high = ranges[i];
         const bool settled = low.next == no_target && high.next == no_target &&
-                             low.memory == range_memory::complete &&
-                             high.memory == range_memory::complete;
+                             low.memory == idempotency_state::complete &&
+                             high.memory == idempotency_state::complete;
         if (settled && low.owner != no_target && low.owner == high.owner &&
             bench.share(i - 1) + bench.share(i) < cold) {
             decision.merges.push_back(high.first);
--- a/src/coordination/range_owner.cpp
+++ b/src/coordination/range_owner.cpp
@@ -146,7 +146,7 @@
 }
 
 bool range_owner::recall_pending(const own_range &range) const {
-    if (range.record.memory != range_memory::fetch) {
+    if (range.record.memory != idempotency_state::fetch) {
         return false;
     }
     const auto found = m_recalls.find(range.record.first);
@@ -154,11 +154,11 @@
 }
 
 bool range_owner::memory_lost(const own_range &range) const {
-    if (range.record.memory == range_memory::lost) {
+    if (range.record.memory == idempotency_state::lost) {
         return true;
     }
     const auto found = m_recalls.find(range.record.first);
-    return range.record.memory == range_memory::fetch && found != m_recalls.end() &&
+    return range.record.memory == idempotency_state::fetch && found != m_recalls.end() &&
            found->second.step == recall_step::lost;
 }
 
@@ -611,7 +611,7 @@
 void range_owner::step_recalls(moment at) {
     for (const own_range &range : m_own) {
         const range_record &record = range.record;
-        if (record.memory != range_memory::fetch) {
+        if (record.memory != idempotency_state::fetch) {
             continue;
         }
         recall &state = m_recalls[record.first];
@@ -721,7 +721,7 @@
     std::erase_if(m_recalls, [&](const auto &item) {
         const own_range *range = own_range_of(item.first);
         return range == nullptr || range->record.token != item.second.token ||
-               range->record.memory != range_memory::fetch;
+               range->record.memory != idempotency_state::fetch;
     });
     for (const own_range &range : before) {
         const own_range *still = own_range_of(range.record.first);
--- a/src/protocol/codec.cpp
+++ b/src/protocol/codec.cpp
@@ -204,7 +204,7 @@
             .owner = in.getOwner(),
             .token = in.getToken(),
             .next = in.getNext(),
-            .memory = enum_of(in.getMemory(), range_memory::lost),
+            .memory = enum_of(in.getMemory(), idempotency_state::lost),
             .recover_from = in.getRecoverFrom(),
             .recover_of = in.getRecoverOf(),
             .lost_at_ms = in.getLostAtMs(),
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -320,20 +320,20 @@
     range.handover.clear();
     // Requests to services with ordered keys carry no idempotency keys: there is nothing to
     // restore.
-    if (range.memory == range_memory::lost || has_ordered_keys(owner.service)) {
+    if (range.memory == idempotency_state::lost || has_ordered_keys(owner.service)) {
         return;
     }
     const target_record *standby = find_target(owner.standby);
     const bool kept =
         owner.standby_ready && standby != nullptr && standby->phase != target_phase::gone;
-    if (range.memory == range_memory::complete && kept) {
-        range.memory = range_memory::fetch;
+    if (range.memory == idempotency_state::complete && kept) {
+        range.memory = idempotency_state::fetch;
         range.recover_from = owner.standby;
         range.recover_of = owner.number;
         return;
     }
     // The second loss before the first was repaired: nobody can tell a resend from a first try.
-    range.memory = range_memory::lost;
+    range.memory = idempotency_state::lost;
     range.recover_from = no_target;
     range.recover_of = no_target;
     range.lost_at_ms = wall_ms;
@@ -381,7 +381,7 @@
     for (range_record &range : ranges_of(record)) {
         if (range.recover_from == record.number && range.owner != record.number) {
             // The copy this range was to be restored from went with the standby.
-            range.memory = range_memory::lost;
+            range.memory = idempotency_state::lost;
             range.recover_from = no_target;
             range.recover_of = no_target;
             range.lost_at_ms = wall_ms;
@@ -544,8 +544,8 @@
     range->next = no_target;
     range->token = m_version;
     range->handover = body.handover;
-    if (range->memory == range_memory::fetch) {
-        range->memory = range_memory::complete;
+    if (range->memory == idempotency_state::fetch) {
+        range->memory = idempotency_state::complete;
         range->recover_from = no_target;
         range->recover_of = no_target;
     }
@@ -586,8 +586,8 @@
     }
     range_record &lower = *std::prev(place);
     const bool settled = lower.next == no_target && place->next == no_target &&
-                         lower.memory == range_memory::complete &&
-                         place->memory == range_memory::complete;
+                         lower.memory == idempotency_state::complete &&
+                         place->memory == idempotency_state::complete;
     if (lower.owner != place->owner || !settled) {
         return error_kind::cancelled;
     }
@@ -632,13 +632,13 @@
     range_record *range = range_at(body.service, body.first);
     const bool unchanged = range != nullptr && range->token == body.token &&
                            range->owner == body.owner && range->memory == body.was;
-    if (!unchanged || range->memory == range_memory::complete) {
+    if (!unchanged || range->memory == idempotency_state::complete) {
         return error_kind::cancelled;
     }
     written.subject = range_subject(body.service, body.first);
     written.before = dump(nlohmann::json(range->memory));
     written.after = "complete";
-    range->memory = range_memory::complete;
+    range->memory = idempotency_state::complete;
     range->recover_from = no_target;
     range->recover_of = no_target;
     range->lost_at_ms = 0;
--- a/src/state/json_fields.hpp
+++ b/src/state/json_fields.hpp
@@ -10,9 +10,9 @@
 NLOHMANN_JSON_SERIALIZE_ENUM(target_phase, {{target_phase::serving, "serving"},
                                             {target_phase::draining, "draining"},
                                             {target_phase::gone, "gone"}})
-NLOHMANN_JSON_SERIALIZE_ENUM(range_memory, {{range_memory::complete, "complete"},
-                                            {range_memory::fetch, "fetch"},
-                                            {range_memory::lost, "lost"}})
+NLOHMANN_JSON_SERIALIZE_ENUM(idempotency_state, {{idempotency_state::complete, "complete"},
+                                                 {idempotency_state::fetch, "fetch"},
+                                                 {idempotency_state::lost, "lost"}})
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(target_record, number, name, service, failure_domain,
                                    node_address, incarnation, slots, connections, checks_tokens,
                                    phase, standby, standby_ready, standby_epoch)
--- a/src/transport/control_host.cpp
+++ b/src/transport/control_host.cpp
@@ -550,7 +550,7 @@
             for (const range_record &range : ranges) {
                 unowned += range.owner == no_target ? 1 : 0;
                 moving += range.next != no_target ? 1 : 0;
-                memory_lost += range.memory == range_memory::lost ? 1 : 0;
+                memory_lost += range.memory == idempotency_state::lost ? 1 : 0;
             }
             services[service] = {{"ranges", ranges.size()},
                                  {"without_owner", unowned},
--- a/tests/state/control_state_test.cpp
+++ b/tests/state/control_state_test.cpp
@@ -84,11 +84,11 @@
     CHECK(driven.apply(set_standby{a, b, true, epoch + 1}).error == error_kind::cancelled);
     driven.apply(set_standby{a, b, true, epoch});
     driven.apply(expire_targets{{a}});
-    CHECK(driven.state.find_range("a", 0)->memory == range_memory::fetch);
+    CHECK(driven.state.find_range("a", 0)->memory == idempotency_state::fetch);
     CHECK(driven.state.find_range("a", 0)->recover_from == b);
     driven.apply(grant_ranges{"a", {{0, c}}});
     driven.apply(expire_targets{{c}});
-    CHECK(driven.state.find_range("a", 0)->memory == range_memory::lost);
+    CHECK(driven.state.find_range("a", 0)->memory == idempotency_state::lost);
 }
 
 TEST_CASE("a report of restored keys from an owner that was lost meanwhile is void") {
@@ -107,10 +107,10 @@
     driven.apply(expire_targets{{a}});
     driven.apply(grant_ranges{"a", {{0, b}}});
     const fencing_token token = driven.state.find_range("a", 0)->token;
-    const restore_memory report{"a", 0, token, b, range_memory::fetch};
+    const restore_memory report{"a", 0, token, b, idempotency_state::fetch};
     driven.apply(expire_targets{{b}});
     CHECK(driven.apply(report).error == error_kind::cancelled);
-    CHECK(driven.state.find_range("a", 0)->memory == range_memory::lost);
+    CHECK(driven.state.find_range("a", 0)->memory == idempotency_state::lost);
 }
 
 TEST_CASE("equal states are written and read back") {
