--- a/include/peppertack/state/routing_table.hpp
+++ b/include/peppertack/state/routing_table.hpp
@@ -12,7 +12,7 @@
 namespace peppertack {
 
 /// What may be done with a request whose outcome is unknown.
-enum class repeat_rule : std::uint8_t {
+enum class retry_policy : std::uint8_t {
     idempotent, ///< may run more than once
     once,       ///< may run at most once for each request of a caller
     once_large, ///< as `once`; bodies are large
@@ -31,7 +31,7 @@
     std::string name;
     std::string host;        ///< compared without regard to case
     std::string path_prefix; ///< begins and ends with a slash
-    repeat_rule repeat = repeat_rule::once;
+    retry_policy repeat = retry_policy::once;
     duration timeout{};              ///< longest time that a request is kept waiting
     duration latency_objective{};    ///< an answer within it earns its full worth
     int priority = 0;                ///< 0 is the most urgent
--- a/src/state/routing_delta.cpp
+++ b/src/state/routing_delta.cpp
@@ -65,9 +65,9 @@
 
 } // namespace
 
-NLOHMANN_JSON_SERIALIZE_ENUM(repeat_rule, {{repeat_rule::idempotent, "idempotent"},
-                                           {repeat_rule::once, "once"},
-                                           {repeat_rule::once_large, "once_large"}})
+NLOHMANN_JSON_SERIALIZE_ENUM(retry_policy, {{retry_policy::idempotent, "idempotent"},
+                                            {retry_policy::once, "once"},
+                                            {retry_policy::once_large, "once_large"}})
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(weighted_service, service, weight)
 NLOHMANN_JSON_SERIALIZE_ENUM(hold_delivery, {{hold_delivery::unknown, "unknown"},
                                              {hold_delivery::by_heartbeat, "by_heartbeat"},
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -63,7 +63,7 @@
     REQUIRE_MESSAGE(routing, problem.reason);
     CHECK(routing->version == 10);
     const route &one = routing->routes.at("r-one");
-    CHECK(one.repeat == repeat_rule::once);
+    CHECK(one.repeat == retry_policy::once);
     CHECK(one.timeout == 800ms);
     CHECK(one.latency_objective == 250ms);
     CHECK(one.most_attempts == 2);
--- a/tests/state/routing_table_test.cpp
+++ b/tests/state/routing_table_test.cpp
@@ -14,7 +14,7 @@
     return {.name = name,
             .host = "Shop.example",
             .path_prefix = prefix,
-            .repeat = repeat_rule::idempotent,
+            .repeat = retry_policy::idempotent,
             .timeout = 2s,
             .latency_objective = 500ms,
             .priority = 1,
