--- a/include/peppertack/state/routing_table.hpp
+++ b/include/peppertack/state/routing_table.hpp
@@ -32,10 +32,10 @@
     std::string host;        ///< compared without regard to case
     std::string path_prefix; ///< begins and ends with a slash
     retry_policy repeat = retry_policy::once;
-    duration timeout{};              ///< longest time that a request is kept waiting
-    duration latency_objective{};    ///< an answer within it earns its full worth
-    int priority = 0;                ///< 0 is the most urgent
-    std::uint32_t most_attempts = 1; ///< most targets to which one request is sent
+    duration timeout{};             ///< longest time that a request is kept waiting
+    duration latency_objective{};   ///< an answer within it earns its full worth
+    int priority = 0;               ///< 0 is the most urgent
+    std::uint32_t max_attempts = 1; ///< most targets to which one request is sent
     std::vector<weighted_service> split;
     /// The operator's own text of this row, returned as it was given when the routing table is read
     /// back.
--- a/src/state/routing_delta.cpp
+++ b/src/state/routing_delta.cpp
@@ -100,7 +100,7 @@
             {"timeout_us", item.timeout.count()},
             {"latency_objective_us", item.latency_objective.count()},
             {"priority", item.priority},
-            {"most_attempts", item.most_attempts},
+            {"most_attempts", item.max_attempts},
             {"split", item.split},
             {"source", item.source}};
 }
@@ -113,7 +113,7 @@
     item.timeout = duration(json.at("timeout_us").get<std::int64_t>());
     item.latency_objective = duration(json.at("latency_objective_us").get<std::int64_t>());
     json.at("priority").get_to(item.priority);
-    json.at("most_attempts").get_to(item.most_attempts);
+    json.at("most_attempts").get_to(item.max_attempts);
     json.at("split").get_to(item.split);
     json.at("source").get_to(item.source);
 }
--- a/src/transport/traffic/entry_relay.cpp
+++ b/src/transport/traffic/entry_relay.cpp
@@ -427,7 +427,7 @@
 bool entry_relay::retry_executed_nowhere(instant now) {
     const bool not_run = m_answer.status >= 400 && !m_passing_on &&
                          m_answer.find(m_host.options().headers.not_executed) != nullptr;
-    if (!not_run || m_arrivals >= m_route.most_attempts || !m_body.replayable() ||
+    if (!not_run || m_arrivals >= m_route.max_attempts || !m_body.replayable() ||
         now + m_hop.load.service_time > m_objective ||
         !m_host.take_retry(m_service, m_may_have_run)) {
         return false;
@@ -505,7 +505,7 @@
     m_may_have_run = true;
     m_tried.insert(m_target);
     const bool again = m_route.repeat == retry_policy::idempotent && m_body.replayable() &&
-                       m_arrivals < m_route.most_attempts &&
+                       m_arrivals < m_route.max_attempts &&
                        !m_host.agent().lease().suspects().suspects(m_fingerprint) &&
                        now + m_hop.load.service_time < m_deadline;
     if (!again || !m_host.take_retry(m_service, true)) {
--- a/tests/state/routing_table_test.cpp
+++ b/tests/state/routing_table_test.cpp
@@ -18,7 +18,7 @@
             .timeout = 2s,
             .latency_objective = 500ms,
             .priority = 1,
-            .most_attempts = 2,
+            .max_attempts = 2,
             .split = {{"a", 90}, {"b", 10}},
             .source = "{}"};
 }
