--- a/include/peppertack/state/durable_log.hpp
+++ b/include/peppertack/state/durable_log.hpp
@@ -77,9 +77,9 @@
 /// keep. `reopen` begins anew from what the disk holds. Not thread safe.
 ///
 /// By default a call returns once its change has been synced. With `write_behind` it returns at
-/// once: the change counts for all readers of the log, and its write waits for `take_write`. Writes
-/// are made in the order of the changes, so what the disk holds is always a state that the log had.
-/// `durable_index` and `vote_durable` tell what may be promised to others.
+/// once: the change counts for all readers of the log, and its write waits for `begin_write`.
+/// Writes are made in the order of the changes, so what the disk holds is always a state that the
+/// log had. `durable_index` and `vote_durable` tell what may be promised to others.
 class durable_log {
 public:
     struct options {
@@ -114,10 +114,10 @@
     bool save_snapshot(const log_snapshot &snapshot);
 
     /// The next write, which covers all changes that may share a sync; nothing while one is under
-    /// way. It is passed to `perform`, on any thread, and its outcome to `note_written`.
-    std::optional<log_write> take_write();
+    /// way. It is passed to `perform`, on any thread, and its outcome to `end_write`.
+    std::optional<log_write> begin_write();
     /// Ends the write that was taken last.
-    void note_written(const write_outcome &outcome);
+    void end_write(const write_outcome &outcome);
 
     const options &settings() const { return m_options; }
     /// Number of the last change, and of the last one that has been synced.
--- a/src/coordination/durable_voter.cpp
+++ b/src/coordination/durable_voter.cpp
@@ -55,7 +55,7 @@
         m_disk_busy = true;
         return reopening();
     }
-    std::optional<log_write> next = m_log->take_write();
+    std::optional<log_write> next = m_log->begin_write();
     if (!next) {
         return std::nullopt;
     }
@@ -68,7 +68,7 @@
                      .finish =
                          [this, outcome](moment at) {
                              m_disk_busy = false;
-                             m_log->note_written(*outcome);
+                             m_log->end_write(*outcome);
                              m_core->note_written(at);
                              return disk_news::none;
                          }};
--- a/src/state/durable_log.cpp
+++ b/src/state/durable_log.cpp
@@ -525,11 +525,11 @@
     if (m_options.write_behind) {
         return true;
     }
-    note_written(perform(*take_write(), *m_files, m_options.sync_writes));
+    end_write(perform(*begin_write(), *m_files, m_options.sync_writes));
     return !m_failed;
 }
 
-std::optional<log_write> durable_log::take_write() {
+std::optional<log_write> durable_log::begin_write() {
     if (m_writing || m_failed || m_writes.empty()) {
         return std::nullopt;
     }
@@ -540,7 +540,7 @@
     return write;
 }
 
-void durable_log::note_written(const write_outcome &outcome) {
+void durable_log::end_write(const write_outcome &outcome) {
     m_writing = false;
     if (!outcome.written) {
         fail(outcome.reason);
--- a/tests/state/log_write_test.cpp
+++ b/tests/state/log_write_test.cpp
@@ -21,9 +21,9 @@
 
 /// Makes the next write. False if there is none.
 bool write_next(durable_log &log, fake_storage &files) {
-    const std::optional<log_write> write = log.take_write();
+    const std::optional<log_write> write = log.begin_write();
     if (write) {
-        log.note_written(perform(*write, files, true));
+        log.end_write(perform(*write, files, true));
     }
     return write.has_value();
 }
@@ -51,17 +51,17 @@
     fake_storage files;
     durable_log log = opened(files);
     REQUIRE(log.append({entry(1, 1)}));
-    const std::optional<log_write> first = log.take_write();
+    const std::optional<log_write> first = log.begin_write();
     REQUIRE(first);
     for (std::uint64_t index = 2; index <= 9; ++index) {
         REQUIRE(log.append({entry(index, 1)}));
     }
-    CHECK_FALSE(log.take_write()); // one at a time
-    log.note_written(perform(*first, files, true));
+    CHECK_FALSE(log.begin_write()); // one at a time
+    log.end_write(perform(*first, files, true));
     CHECK(log.durable_index() == 1);
     REQUIRE(write_next(log, files));
     CHECK(log.durable_index() == 9);
-    CHECK_FALSE(log.take_write());
+    CHECK_FALSE(log.begin_write());
     CHECK(opened(files).last_index() == 9);
 }
 
@@ -70,10 +70,10 @@
     fake_storage files;
     durable_log log = opened(files);
     REQUIRE(log.append({entry(1, 1), entry(2, 1), entry(3, 1)}));
-    const std::optional<log_write> first = log.take_write();
+    const std::optional<log_write> first = log.begin_write();
     REQUIRE(first);
     REQUIRE(log.append({entry(2, 2), entry(3, 2)}));
-    log.note_written(perform(*first, files, true));
+    log.end_write(perform(*first, files, true));
     CHECK(log.durable_index() == 1);
     REQUIRE(write_next(log, files));
     CHECK(log.durable_index() == 3);
@@ -108,7 +108,7 @@
     REQUIRE(write_next(log, files));
     CHECK(log.failed());
     CHECK_FALSE(log.append({entry(3, 1)}));
-    CHECK_FALSE(log.take_write());
+    CHECK_FALSE(log.begin_write());
     files.set_fault(fake_storage::fault::none);
     open_failure failure;
     const std::optional<durable_log> again = durable_log::reopen(log, failure);
