--- a/include/peppertack/state/durable_log.hpp
+++ b/include/peppertack/state/durable_log.hpp
@@ -48,7 +48,7 @@
     std::string reason;
     /// The disk refused a call; tried again later, it may give the log. False: what it holds is
     /// damaged, or less than was promised.
-    bool may_pass = false;
+    bool retryable = false;
 };
 
 /// One write that a log needs: either records to append to a file and to sync, or a snapshot with
--- a/src/coordination/durable_voter.cpp
+++ b/src/coordination/durable_voter.cpp
@@ -124,7 +124,7 @@
     if (!log) {
         m_reason = failure.reason;
     }
-    m_damaged = log || !failure.may_pass;
+    m_damaged = log || !failure.retryable;
     return m_damaged ? disk_news::damaged : disk_news::none;
 }
 
--- a/src/state/durable_log.cpp
+++ b/src/state/durable_log.cpp
@@ -229,7 +229,7 @@
         write.snapshot = encode(*log.m_snapshot);
     }
     if (!log.write_first(write)) {
-        failure = {.reason = log.m_reason, .may_pass = true};
+        failure = {.reason = log.m_reason, .retryable = true};
         return std::nullopt;
     }
     log.m_durable = {
@@ -261,7 +261,7 @@
 }
 
 bool durable_log::refused_by_disk(const std::string &what, open_failure &failure) const {
-    failure = {.reason = what + ": " + m_files->last_reason(), .may_pass = true};
+    failure = {.reason = what + ": " + m_files->last_reason(), .retryable = true};
     return false;
 }
 
@@ -284,7 +284,7 @@
     }
     if (logs.empty()) {
         if (!write_first(first_write())) {
-            failure = {.reason = m_reason, .may_pass = true};
+            failure = {.reason = m_reason, .retryable = true};
             return false;
         }
         return true;
--- a/tests/state/durable_log_test.cpp
+++ b/tests/state/durable_log_test.cpp
@@ -268,7 +268,7 @@
     REQUIRE_FALSE(log.append({entry(4, 1)}));
     open_failure failure;
     CHECK_FALSE(durable_log::reopen(log, failure));
-    CHECK(failure.may_pass);
+    CHECK(failure.retryable);
     files.set_fault(fake_storage::fault::none);
     std::optional<durable_log> again = durable_log::reopen(log, failure);
     REQUIRE(again);
@@ -315,7 +315,7 @@
         open_failure failure;
         const bool taken = durable_log::reopen(log, failure).has_value();
         CHECK(taken != (failure.reason.find("less than was promised") != std::string::npos));
-        CHECK_FALSE(failure.may_pass);
+        CHECK_FALSE(failure.retryable);
         return taken;
     };
     const auto vote = [](durable_log &log) { REQUIRE(log.save_vote({7, "a"})); };
--- a/tests/state/log_write_test.cpp
+++ b/tests/state/log_write_test.cpp
@@ -128,5 +128,5 @@
     files = fake_storage();
     open_failure failure;
     CHECK_FALSE(durable_log::reopen(log, failure));
-    CHECK_FALSE(failure.may_pass);
+    CHECK_FALSE(failure.retryable);
 }
