--- a/include/peppertack/state/audit_log.hpp
+++ b/include/peppertack/state/audit_log.hpp
@@ -19,10 +19,10 @@
 public:
     struct options {
         std::size_t segment_records = 20'000; ///< records a file
-        std::size_t kept_segments = 10'000;   ///< older files are removed
+        std::size_t max_segments = 10'000;    ///< older files are removed
         /// Records kept in memory while the disk refuses them; beyond, the oldest are given up. Far
         /// more than are decided in the seconds that a disk is full, a few megabytes at most.
-        std::size_t waiting_records = 1000;
+        std::size_t max_pending_records = 1000;
     };
 
     /// Opens the archive and finds its end. A torn last line is cut off. Yields nothing, with the
@@ -34,7 +34,7 @@
     /// it: it waits then, and the next call writes it first.
     bool append(const audit_record &record);
     std::uint64_t last_sequence() const {
-        return m_waiting.empty() ? m_last : m_waiting.back().sequence;
+        return m_pending.empty() ? m_last : m_pending.back().sequence;
     }
 
     /// Every record held, oldest first, with those that wait for the disk.
@@ -52,7 +52,7 @@
     std::size_t m_segment_size = 0;  ///< records
     std::size_t m_segment_bytes = 0; ///< of whole lines
     bool m_torn = false;             ///< the segment may hold a part of a line behind these
-    std::deque<audit_record> m_waiting;
+    std::deque<audit_record> m_pending;
     std::uint64_t m_last = 0;
 };
 
--- a/include/peppertack/state/control_state.hpp
+++ b/include/peppertack/state/control_state.hpp
@@ -121,7 +121,7 @@
     target_record *live_target(target_number number);
     void record_range_change(const std::string &service, std::uint64_t first);
     void record_target_change(target_number number);
-    void lose_owner(range_record &range, const target_record &owner, std::int64_t wall_ms);
+    void clear_lost_owner(range_record &range, const target_record &owner, std::int64_t wall_ms);
     void cancel_moves_to(const target_record &record);
     void prune_targets();
     void drop_standby_of(const target_record &record);
--- a/include/peppertack/state/durable_log.hpp
+++ b/include/peppertack/state/durable_log.hpp
@@ -152,9 +152,9 @@
     void note_staged();
     void note_durable();
     void truncate_positions(std::uint64_t last_index);
-    log_write first_write();
-    bool write_first(const log_write &write);
-    bool holds_promises_of(const durable_log &earlier) const;
+    log_write initial_write();
+    bool write_initial(const log_write &write);
+    bool holds_durable_state_of(const durable_log &earlier) const;
     bool refused_by_disk(const std::string &what, open_failure &failure) const;
     bool fail(const std::string &reason);
 
@@ -165,7 +165,7 @@
     std::uint64_t m_base_index = 0;
     std::uint64_t m_base_term = 0;
     std::deque<log_entry> m_entries;
-    bool m_behind_snapshot = true; ///< while reading: what comes next follows the snapshot's entry
+    bool m_follows_snapshot = true; ///< while reading: what comes next follows the snapshot's entry
     std::string m_file;
     std::deque<log_write> m_writes; ///< that wait; at most the last one still takes changes
     bool m_writing = false;
--- a/src/state/audit_log.cpp
+++ b/src/state/audit_log.cpp
@@ -72,18 +72,18 @@
 
 bool audit_log::append(const audit_record &record) {
     if (record.sequence > last_sequence()) {
-        m_waiting.push_back(record);
+        m_pending.push_back(record);
     }
-    if (m_waiting.size() > m_options.waiting_records) {
-        m_waiting.pop_front();
+    if (m_pending.size() > m_options.max_pending_records) {
+        m_pending.pop_front();
     }
     // Given up at the first error, a record that the disk takes a second later would be missing
     // from the chain for good.
-    while (!m_waiting.empty()) {
-        if (!write(m_waiting.front())) {
+    while (!m_pending.empty()) {
+        if (!write(m_pending.front())) {
             return false;
         }
-        m_waiting.pop_front();
+        m_pending.pop_front();
     }
     return true;
 }
@@ -115,7 +115,7 @@
     // Unreadable for now: what is too old goes when the next segment begins.
     const std::vector<std::string> names =
         segments_of(*m_files).value_or(std::vector<std::string>{});
-    for (std::size_t i = 0; i + m_options.kept_segments < names.size(); ++i) {
+    for (std::size_t i = 0; i + m_options.max_segments < names.size(); ++i) {
         m_files->remove(names[i]);
     }
 }
@@ -127,7 +127,7 @@
         std::vector<audit_record> part = read_segment(*m_files, name);
         std::move(part.begin(), part.end(), std::back_inserter(records));
     }
-    records.insert(records.end(), m_waiting.begin(), m_waiting.end());
+    records.insert(records.end(), m_pending.begin(), m_pending.end());
     return records;
 }
 
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -32,9 +32,9 @@
 namespace {
 
 constexpr int state_version = 1;
-constexpr std::size_t remembered_answers = 50'000; ///< about three days at 17,000 changes a day
+constexpr std::size_t max_remembered_answers = 50'000; ///< about three days at 17,000 changes a day
 constexpr std::size_t max_change_feed_items = 250'000;
-constexpr std::size_t kept_ended_targets = 1'000;
+constexpr std::size_t max_ended_targets = 1'000;
 constexpr unsigned initial_range_bits = 6; ///< 64 ranges: about 16 a target for small services
 
 std::string dump(const nlohmann::json &json) {
@@ -216,7 +216,7 @@
 
 void control_state::remember_answer(const std::string &change_id, const change_answer &answer) {
     m_answers.emplace_back(change_id, answer);
-    if (m_answers.size() > remembered_answers) {
+    if (m_answers.size() > max_remembered_answers) {
         m_answers.pop_front();
     }
 }
@@ -313,8 +313,8 @@
     return error_kind::none;
 }
 
-void control_state::lose_owner(range_record &range, const target_record &owner,
-                               std::int64_t wall_ms) {
+void control_state::clear_lost_owner(range_record &range, const target_record &owner,
+                                     std::int64_t wall_ms) {
     range.owner = no_target;
     range.next = no_target;
     range.handover.clear();
@@ -388,7 +388,7 @@
             record_range_change(record.service, range.first);
         }
         if (range.owner == record.number) {
-            lose_owner(range, record, wall_ms);
+            clear_lost_owner(range, record, wall_ms);
             record_range_change(record.service, range.first);
             ++lost;
         }
@@ -434,7 +434,7 @@
         live += numbers.size();
     }
     std::size_t ended = m_targets.size() - live;
-    if (ended <= kept_ended_targets) {
+    if (ended <= max_ended_targets) {
         return;
     }
     std::set<target_number> used;
@@ -443,7 +443,7 @@
             used.insert({range.owner, range.next, range.recover_from, range.recover_of});
         }
     }
-    for (auto at = m_targets.begin(); at != m_targets.end() && ended > kept_ended_targets / 2;) {
+    for (auto at = m_targets.begin(); at != m_targets.end() && ended > max_ended_targets / 2;) {
         const bool removable = at->second.phase == target_phase::gone && used.count(at->first) == 0;
         at = removable ? m_targets.erase(at) : std::next(at);
         ended -= removable ? 1 : 0;
--- a/src/state/durable_log.cpp
+++ b/src/state/durable_log.cpp
@@ -21,7 +21,7 @@
 constexpr std::uint8_t frame_version = 1;
 constexpr std::size_t header_size = 4 + 1 + 4 + 8;
 constexpr std::size_t max_body = 1U << 30U;
-constexpr std::size_t most_bytes_a_write = 16U << 20U;
+constexpr std::size_t max_write_bytes = 16U << 20U;
 constexpr const char *snapshot_file = "snapshot";
 constexpr const char *log_prefix = "log-";
 
@@ -89,7 +89,7 @@
     return frame;
 }
 
-enum class frame_state { whole, torn, damaged, foreign };
+enum class frame_state { whole, torn, damaged, unsupported_version };
 
 struct frame {
     frame_state state = frame_state::torn;
@@ -116,7 +116,7 @@
         return {.state = frame_state::damaged};
     }
     if (version != frame_version) {
-        return {.state = frame_state::foreign};
+        return {.state = frame_state::unsupported_version};
     }
     return {.state = frame_state::whole, .body = body, .size = header_size + size};
 }
@@ -217,18 +217,18 @@
     if (!log.load(failure)) {
         return std::nullopt;
     }
-    if (!log.holds_promises_of(failed)) {
+    if (!log.holds_durable_state_of(failed)) {
         failure = {.reason =
                        "the disk holds less than was promised; replace this voter by a new one"};
         return std::nullopt;
     }
     // What was read may be in the kernel's memory only: pages that a failed sync dropped are read
     // as written and never reach the disk, whatever later syncs say. New files have no such pages.
-    log_write write = log.first_write();
+    log_write write = log.initial_write();
     if (log.m_snapshot) {
         write.snapshot = encode(*log.m_snapshot);
     }
-    if (!log.write_first(write)) {
+    if (!log.write_initial(write)) {
         failure = {.reason = log.m_reason, .retryable = true};
         return std::nullopt;
     }
@@ -240,7 +240,7 @@
 /// The write that failed may have reached the disk, so there may be more than was promised: a later
 /// vote, or entries of a later term in place of some. Less would mean that a vote can be given
 /// twice or that an acknowledged entry is gone.
-bool durable_log::holds_promises_of(const durable_log &earlier) const {
+bool durable_log::holds_durable_state_of(const durable_log &earlier) const {
     const vote_record &promised = earlier.m_durable.vote;
     const bool same_term = m_vote.term == promised.term;
     const bool vote_held = m_vote.term > promised.term || m_vote == promised ||
@@ -283,7 +283,7 @@
         }
     }
     if (logs.empty()) {
-        if (!write_first(first_write())) {
+        if (!write_initial(initial_write())) {
             failure = {.reason = m_reason, .retryable = true};
             return false;
         }
@@ -335,7 +335,7 @@
     while (at < bytes->size()) {
         const std::string_view rest = std::string_view(*bytes).substr(at);
         const frame next = read_frame(rest);
-        if (next.state == frame_state::foreign) {
+        if (next.state == frame_state::unsupported_version) {
             failure = {.reason = name + " at byte " + std::to_string(at) +
                                  ": frame version not supported"};
             return false;
@@ -394,10 +394,10 @@
         // is of another history. Kept, either would let the log end in an earlier term than it
         // does, and a candidate that lacks committed entries would be given this vote.
         m_entries.clear();
-        m_behind_snapshot = entry.index < m_base_index || entry.term == m_base_term;
+        m_follows_snapshot = entry.index < m_base_index || entry.term == m_base_term;
         return true;
     }
-    if (!m_behind_snapshot) {
+    if (!m_follows_snapshot) {
         return true;
     }
     if (entry.index > last_index() + 1) {
@@ -487,7 +487,7 @@
 }
 
 /// The file that follows the snapshot, as it is begun.
-log_write durable_log::first_write() {
+log_write durable_log::initial_write() {
     log_write write{.file = file_name(m_base_index),
                     .records = file_records(m_vote, m_entries),
                     .begins_file = true};
@@ -497,7 +497,7 @@
     return write;
 }
 
-bool durable_log::write_first(const log_write &write) {
+bool durable_log::write_initial(const log_write &write) {
     const write_outcome outcome = perform(write, *m_files, true);
     m_file = write.file;
     return outcome.written || fail(outcome.reason);
@@ -507,7 +507,7 @@
 
 bool durable_log::stage_records(std::string records) {
     if (m_writes.empty() || m_writes.back().begins_file ||
-        m_writes.back().records.size() + records.size() > most_bytes_a_write) {
+        m_writes.back().records.size() + records.size() > max_write_bytes) {
         return stage({.file = m_file, .records = std::move(records)});
     }
     // One frame, so that still only the last one can be torn.
--- a/src/state/posix_storage.cpp
+++ b/src/state/posix_storage.cpp
@@ -17,7 +17,7 @@
 constexpr int file_mode = 0640;
 constexpr std::size_t read_block = 64U << 10U; ///< bytes; few calls for a log of some megabytes
 /// Ends the name under which a replacement is written until it is whole.
-constexpr std::string_view unfinished = ".new";
+constexpr std::string_view temporary_suffix = ".new";
 
 bool write_all(int handle, std::string_view bytes) {
     while (!bytes.empty()) {
@@ -92,7 +92,7 @@
         // What a crash left of a replacement is no file yet. Taken for one, it would be the newest
         // log, and the vote and entries of the real one would be forgotten.
         std::error_code gone; // removed meanwhile
-        if (item.is_regular_file(gone) && name != lock_file && !name.ends_with(unfinished)) {
+        if (item.is_regular_file(gone) && name != lock_file && !name.ends_with(temporary_suffix)) {
             names.push_back(name);
         }
     }
@@ -162,7 +162,7 @@
 
 bool posix_storage::replace(const std::string &name, std::string_view bytes) {
     close_handle(name);
-    const std::string fresh = path_of(name).append(unfinished);
+    const std::string fresh = path_of(name).append(temporary_suffix);
     const int handle = ::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, file_mode);
     if (handle < 0) {
         return fail("create " + name);
--- a/src/state/routing_table.cpp
+++ b/src/state/routing_table.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// A latency objective this far above its route's timeout can't be meant.
-constexpr duration objective_slack = std::chrono::minutes(1);
+constexpr duration max_objective_excess = std::chrono::minutes(1);
 
 std::string lower(std::string_view text) {
     std::string result(text);
@@ -23,7 +23,7 @@
     return colon == std::string_view::npos || address_in_brackets ? host : host.substr(0, colon);
 }
 
-std::optional<std::string> fault_of(const route &item, const routing_table &routing) {
+std::optional<std::string> find_fault(const route &item, const routing_table &routing) {
     const std::string &prefix = item.path_prefix;
     if (item.host.empty()) {
         return "has no host";
@@ -34,7 +34,7 @@
     if (item.timeout <= duration{}) {
         return "timeout is not above 0";
     }
-    if (item.latency_objective >= item.timeout + objective_slack) {
+    if (item.latency_objective >= item.timeout + max_objective_excess) {
         return "latency objective is a minute or more above the timeout";
     }
     double weight = 0;
@@ -57,7 +57,7 @@
 
 std::optional<routing_problem> check_routing_table(const routing_table &routing) {
     for (const auto &[name, item] : routing.routes) {
-        if (const auto fault = fault_of(item, routing)) {
+        if (const auto fault = find_fault(item, routing)) {
             return routing_problem{"route " + name, *fault};
         }
     }
--- a/src/transport/control_host.cpp
+++ b/src/transport/control_host.cpp
@@ -367,7 +367,7 @@
         return nullptr;
     }
     std::optional<audit_log> audit =
-        audit_log::open(*files, {.kept_segments = settings.audit_segments}, reason);
+        audit_log::open(*files, {.max_segments = settings.audit_segments}, reason);
     if (!audit) {
         return nullptr;
     }
--- a/tests/state/control_state_test.cpp
+++ b/tests/state/control_state_test.cpp
@@ -14,7 +14,7 @@
     "service,failure_domain,weight,max_in_flight,max_connections,max_queue\na,z,1,1,1,1\n";
 
 /// A state with the indices of its log counted.
-class driven_state {
+class state_driver {
 public:
     control_state state;
 
@@ -39,7 +39,7 @@
     // Symptom: an edit vanishes, or two operators both believe theirs is in force. Sequence: both
     // read version 0 and send; one loses the answer and sends again. Cause it guards against:
     // applying by arrival instead of compare-and-set, and judging a resend anew.
-    driven_state driven;
+    state_driver driven;
     const auto first = driven.apply(change_table{"one", 0, one_service});
     const auto second = driven.apply(change_table{"two", 0, one_service});
     const auto again = driven.apply(change_table{"one", 0, one_service});
@@ -56,7 +56,7 @@
     // Symptom: a range has two owners. Sequence: A hands a range over to B and reports it; B is
     // lost and the move is called off, so A serves again; the late report arrives. Cause it guards
     // against: a report that names only the range and token, which are the same in both plans.
-    driven_state driven;
+    state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     const target_number a = driven.join("a");
     const target_number b = driven.join("b");
@@ -73,7 +73,7 @@
     // Symptom: a doubled payment after two losses. Sequence: the owner is lost, its standby holds
     // the keys; the new owner is lost before it has fetched them. Cause it guards against: taking
     // the new owner's empty standby copy for the whole memory.
-    driven_state driven;
+    state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     const target_number a = driven.join("a");
     const target_number b = driven.join("b");
@@ -96,7 +96,7 @@
     // keys from A's standby and reports it; B is lost before the report is decided on. Cause it
     // guards against: the range's token is still B's, so the report seemed to fit and the memory
     // counted as complete although it went with B. (Found by the fuzzer, sequence 1507.)
-    driven_state driven;
+    state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     const target_number a = driven.join("a");
     const target_number b = driven.join("b");
@@ -114,7 +114,7 @@
 }
 
 TEST_CASE("equal states are written and read back") {
-    driven_state driven;
+    state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     const target_number a = driven.join("a");
     driven.apply(grant_ranges{"a", {{0, a}}});
@@ -130,7 +130,7 @@
 }
 
 TEST_CASE("registrations that ended are forgotten in time") {
-    driven_state driven;
+    state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     for (int i = 0; i < 2500; ++i) {
         driven.apply(expire_targets{{driven.join("t" + std::to_string(i))}});
@@ -143,7 +143,7 @@
     std::string reason;
     auto log = audit_log::open(files, {.segment_records = 3}, reason);
     REQUIRE(log);
-    driven_state driven;
+    state_driver driven;
     log->append(*driven.apply(change_table{"one", 0, one_service}).audit);
     for (int i = 0; i < 7; ++i) {
         const target_number number = driven.join("t" + std::to_string(i));
@@ -152,7 +152,7 @@
     std::vector<audit_record> records = log->read_all();
     CHECK_FALSE(verify_chain(records).whole); // registrations were not handed to this log
     records.clear();
-    driven_state other;
+    state_driver other;
     for (int i = 0; i < 4; ++i) {
         const std::string id = std::to_string(i);
         records.push_back(
@@ -173,7 +173,7 @@
     std::string reason;
     auto log = audit_log::open(files, {.segment_records = 3}, reason);
     REQUIRE(log);
-    driven_state driven;
+    state_driver driven;
     auto decide = [&, version = std::uint64_t{0}]() mutable {
         const std::string id = std::to_string(version);
         return *driven.apply(change_table{id, version++, one_service}).audit;
