--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -66,7 +66,7 @@
     CHECK(one.repeat == retry_policy::once);
     CHECK(one.timeout == 800ms);
     CHECK(one.latency_objective == 250ms);
-    CHECK(one.most_attempts == 2);
+    CHECK(one.max_attempts == 2);
     CHECK(one.split == std::vector<weighted_service>{{"plain", 1}});
     CHECK(routing->routes.at("r-two").split.size() == 2);
     CHECK(routing->services.at("keyed").keyed);
