--- a/include/peppertack/state/audit_record.hpp
+++ b/include/peppertack/state/audit_record.hpp
@@ -7,16 +7,16 @@
 
 namespace peppertack {
 
-/// One decision as an auditor reads it. `hash` covers every other field and the previous hash, so
-/// a record that was changed, removed or inserted later breaks the chain.
+/// Audit record of one committed command. `hash` covers all other fields including the previous
+/// hash, so modifying, removing or inserting a record later breaks the chain.
 struct audit_record {
-    std::uint64_t sequence = 0; ///< 1 for the first record; without gaps
+    std::uint64_t sequence = 0; ///< starts at 1, without gaps
     std::uint64_t log_index = 0;
     std::int64_t wall_ms = 0;
     std::string kind;
     std::string actor;
     std::string cause;
-    std::string subject; ///< target, range or table the decision is about
+    std::string subject; ///< target, range or table that the command changed
     std::string before;
     std::string after;
     std::string previous_hash; ///< SHA-256 in hex; empty for the first record
@@ -25,7 +25,7 @@
     friend bool operator==(const audit_record &, const audit_record &) = default;
 };
 
-/// End of the chain so far.
+/// Sequence number and hash of the last record of the chain.
 struct audit_head {
     std::uint64_t sequence = 0;
     std::string hash;
@@ -33,14 +33,15 @@
     friend bool operator==(const audit_head &, const audit_head &) = default;
 };
 
-/// SHA-256 in hex over the fields of `record` but `hash`. Thread safe.
+/// SHA-256 in hex over all fields of `record` except `hash`. Thread safe.
 std::string audit_hash(const audit_record &record);
 
-/// One JSON line without a line end.
+/// Encodes the record as one JSON line, without a line terminator.
 std::string encode(const audit_record &record);
 std::optional<audit_record> decode_audit(std::string_view line, std::string &reason);
 
-/// Checks that `record` follows `head` and moves the head on. False, with the reason, if not.
+/// Verifies that `record` follows `head` and advances `head` to it. Returns false and sets `reason`
+/// otherwise.
 bool extend_chain(audit_head &head, const audit_record &record, std::string &reason);
 
 } // namespace peppertack
--- a/include/peppertack/state/command.hpp
+++ b/include/peppertack/state/command.hpp
@@ -11,10 +11,11 @@
 
 namespace peppertack {
 
-/// A replicated decision. Every command names its actor and cause, because each becomes an audit
-/// record. Commands are checked again when applied: the state may have moved since the proposal.
+/// Commands of the replicated state machine. Each carries its actor and cause, which are recorded
+/// in the audit chain. Preconditions are checked again when a command is applied, as the state may
+/// have changed since it was proposed.
 
-/// Compare-and-set of the operators' table. `change_id` makes a resend idempotent.
+/// Compare-and-set of the operators' table. `change_id` makes resends idempotent.
 struct change_table {
     std::string change_id;
     std::uint64_t base_version = 0;
@@ -23,9 +24,9 @@
     friend bool operator==(const change_table &, const change_table &) = default;
 };
 
-/// Compare-and-set of the routing table. `delta` is a `routing_delta` as `encode` wrote it, with
-/// the version that the operator chose for the result. `change_id` makes a resend of an accepted
-/// change idempotent.
+/// Compare-and-set of the routing table. `delta` is an encoded `routing_delta`, which carries the
+/// operator-assigned version of the result. `change_id` makes resends of an accepted change
+/// idempotent.
 struct change_routes {
     std::string change_id;
     std::uint64_t base_version = 0;
@@ -34,29 +35,29 @@
     friend bool operator==(const change_routes &, const change_routes &) = default;
 };
 
-/// A target announced itself; `record.number` is chosen when the command is applied.
+/// Registers a target. `record.number` is assigned when the command is applied.
 struct register_target {
     target_record record;
 
     friend bool operator==(const register_target &, const register_target &) = default;
 };
 
-/// Leases of targets ended without a hand-over. Their ranges lose their owner. One decision for all
-/// that end at a moment: a failure domain takes hundreds at once.
+/// Expires leases of targets without a hand-over; their ranges lose their owner. Batched, since the
+/// loss of a failure domain expires hundreds of leases at once.
 struct expire_targets {
     std::vector<target_number> numbers;
 
     friend bool operator==(const expire_targets &, const expire_targets &) = default;
 };
 
-/// A planned stop: the target keeps its ranges until each has been handed over.
+/// Starts a planned stop: the target keeps its ranges until each has been handed over.
 struct drain_target {
     target_number number = no_target;
 
     friend bool operator==(const drain_target &, const drain_target &) = default;
 };
 
-/// A drained target that owns nothing any more has stopped.
+/// Ends the registration of a drained target that owns no ranges.
 struct retire_target {
     target_number number = no_target;
 
@@ -70,7 +71,7 @@
     friend bool operator==(const range_choice &, const range_choice &) = default;
 };
 
-/// Gives ranges that have no owner to targets.
+/// Assigns ranges without an owner to targets.
 struct grant_ranges {
     std::string service;
     std::vector<range_choice> choices;
@@ -78,7 +79,7 @@
     friend bool operator==(const grant_ranges &, const grant_ranges &) = default;
 };
 
-/// Starts planned moves; the owner changes only with `release_range`.
+/// Starts planned moves. The owner changes only when `release_range` is applied.
 struct plan_moves {
     std::string service;
     std::vector<range_choice> choices;
@@ -86,20 +87,21 @@
     friend bool operator==(const plan_moves &, const plan_moves &) = default;
 };
 
-/// The owner finished its work on a range, handed its remembered keys over and gave it up.
+/// The owner has finished all requests on a range, transferred its idempotency records and released
+/// the range.
 struct release_range {
     std::string service;
     std::uint64_t first = 0;
     fencing_token token = 0;
-    /// Destination the keys were handed to. If it is not the one in force the release is void: the
-    /// owner goes on serving once it learns that the move was called off.
+    /// Target that received the idempotency records. The release is void if this is not the range's
+    /// current destination; the owner resumes serving when it learns that the move was cancelled.
     target_number to = no_target;
-    std::string handover; ///< from the owner's target, for the next owner's
+    std::string handover; ///< opaque state passed from the owner's target to the next owner's
 
     friend bool operator==(const release_range &, const release_range &) = default;
 };
 
-/// Cuts the range that holds `at` in two, both with the same owner and token.
+/// Splits the range that contains `at` in two, both with the same owner and token.
 struct split_range {
     std::string service;
     std::uint64_t at = 0;
@@ -107,7 +109,8 @@
     friend bool operator==(const split_range &, const split_range &) = default;
 };
 
-/// Joins the range that begins at `first` to the one before it, if nothing but the bound differs.
+/// Merges the range that begins at `first` into the preceding one if they differ only in their
+/// bounds.
 struct merge_range {
     std::string service;
     std::uint64_t first = 0;
@@ -115,41 +118,42 @@
     friend bool operator==(const merge_range &, const merge_range &) = default;
 };
 
-/// Chooses who keeps a copy of a target's remembered keys, and whether that copy counts.
+/// Sets which target keeps the standby copy of a target's idempotency records, and whether that
+/// copy is complete.
 struct set_standby {
     target_number number = no_target;
     target_number standby = no_target;
     bool ready = false;
-    std::uint64_t epoch = 0; ///< for `ready`: the epoch in which the copy was completed
+    std::uint64_t epoch = 0; ///< with `ready`: standby epoch in which the copy was completed
 
     friend bool operator==(const set_standby &, const set_standby &) = default;
 };
 
-/// The owner has every remembered key of the range again: it restored them from the standby copy,
-/// or their retention has passed since they were lost.
+/// The owner has all idempotency records of the range again: it restored them from the standby
+/// copy, or the retention period has passed since they were lost.
 struct restore_memory {
     std::string service;
     std::uint64_t first = 0;
     fencing_token token = 0;
-    /// What the decision was made on. A report of an owner that was lost meanwhile is void, though
-    /// the token is still the same: what it had restored went with it.
+    /// State on which the report is based. A report of an owner that has been lost since is void
+    /// although the token is unchanged, because the restored records were lost with that owner.
     target_number owner = no_target;
     idempotency_state was = idempotency_state::complete;
 
     friend bool operator==(const restore_memory &, const restore_memory &) = default;
 };
 
-/// The life of a target ended while it ran these requests, by their fingerprints.
+/// A target crashed while it ran the requests with these fingerprints.
 struct report_crash {
     std::string target;
-    std::uint64_t life = 0; ///< incarnation of its registration
+    std::uint64_t life = 0; ///< incarnation of the target's registration
     std::vector<std::uint64_t> running;
 
     friend bool operator==(const report_crash &, const report_crash &) = default;
 };
 
-/// Ends the suspicion, or the quarantine, of requests. On probation the next end of a target under
-/// such a request quarantines it again; otherwise all that was recorded of it is forgotten.
+/// Clears suspect or quarantined requests. With `probation`, the next target crash under such a
+/// request quarantines it again; otherwise all records of the request are removed.
 struct clear_suspects {
     std::vector<std::uint64_t> fingerprints;
     bool probation = false;
@@ -163,21 +167,22 @@
                  restore_memory, change_routes, report_crash, clear_suspects>;
 
 struct command {
-    std::int64_t wall_ms = 0; ///< leader's wall clock at the proposal, for auditors
-    std::string actor;        ///< operator's name, or the deciding part of the system
+    std::int64_t wall_ms = 0; ///< leader's wall clock at proposal, recorded for auditing only
+    std::string actor;        ///< operator name, or the component that proposed the command
     std::string cause;
     command_body body;
 
     friend bool operator==(const command &, const command &) = default;
 };
 
-/// JSON text of a command, one line, with a version field. See docs/design/log-format.md.
+/// Encodes a command as one line of JSON with a format version. See docs/design/log-format.md.
 std::string encode(const command &value);
 
-/// Reads what `encode` wrote. Yields nothing, with the reason, for anything else. Thread safe.
+/// Decodes the output of `encode`. Returns nullopt and sets `reason` for any other input. Thread
+/// safe.
 std::optional<command> decode_command(std::string_view text, std::string &reason);
 
-/// Short stable name of the kind of command, as used in audit records and logs.
+/// Stable short name of the command kind, as used in audit records and logs.
 const char *kind_name(const command_body &body);
 
 } // namespace peppertack
--- a/include/peppertack/state/control_state.hpp
+++ b/include/peppertack/state/control_state.hpp
@@ -19,40 +19,41 @@
 
 namespace peppertack {
 
-/// Answer to an operator's table change; remembered so that a resend gets the first answer again.
+/// Response to an operator's change request; stored so that a resend gets the same response.
 struct change_answer {
     error_kind error = error_kind::none;
-    std::uint64_t version = 0;    ///< version in force after the change was judged
-    std::string winner_change_id; ///< on a conflict: the change that holds that version
+    std::uint64_t version = 0;    ///< version in force after the change was evaluated
+    std::string winner_change_id; ///< on a conflict: id of the change that set that version
     std::string winner_actor;
 
     friend bool operator==(const change_answer &, const change_answer &) = default;
 };
 
-/// Where one range record is: nodes are sent what has been touched since the version they hold.
+/// Entry of the change feed: identifies a range or target that changed. Nodes are sent the entries
+/// after the version that they hold.
 struct change_feed_item {
     std::uint64_t version = 0;
-    std::string service; ///< empty: a target was touched
+    std::string service; ///< empty if a target changed
     std::uint64_t first = 0;
     target_number number = no_target;
 };
 
-/// The replicated state machine: table, targets, ranges, and the head of the audit chain. Applying
-/// the same commands in the same order gives equal states everywhere; there is no other input.
-/// Not thread safe: it belongs to the control thread.
+/// The replicated state machine: table, targets, ranges and the head of the audit chain.
+/// Deterministic: applying the same commands in the same order gives equal states, and there is no
+/// other input. Not thread safe: used only on the control thread.
 class control_state {
 public:
     control_state() = default;
 
     struct applied {
         error_kind error = error_kind::none;
-        std::optional<audit_record> audit; ///< nothing if the command had become void
+        std::optional<audit_record> audit; ///< nullopt if the command was void when applied
         std::optional<change_answer> answer;
     };
 
-    /// Applies the command at `index` of the log. Precondition: `index` is above `version()`.
+    /// Applies the command at log index `index`. Precondition: `index` is above `version()`.
     applied apply(std::uint64_t index, const command &value);
-    /// Passes an index that holds no command (an election or membership entry).
+    /// Advances past a log entry that holds no command (an election or membership entry).
     void skip(std::uint64_t index);
 
     /// Index of the last log entry applied.
@@ -61,28 +62,30 @@
     const table &current_table() const { return m_table; }
     const std::string &table_change_id() const { return m_table_change_id; }
     const std::string &table_actor() const { return m_table_actor; }
-    /// The operators' routing table; version 0 if there is none yet.
+    /// The operators' routing table; version 0 if none has been set.
     const routing_table &routes() const { return m_routes; }
-    /// Whether targets of the service are taken on: the table or the routing table names it.
+    /// Whether the table or the routing table names the service, so that its targets may register.
     bool has_service(const std::string &service) const;
-    /// Whether the service's keys are ordered numbers: its ranges are cut only between two keys.
+    /// Whether the service's keys are ordered numbers. Such ranges are split only between two keys.
     bool has_ordered_keys(const std::string &service) const;
     const std::map<target_number, target_record> &targets() const { return m_targets; }
-    /// Targets of a service that have not ended, in order of their numbers.
+    /// Targets of a service whose registration has not ended, ordered by number.
     const std::set<target_number> &live_targets(const std::string &service) const;
     const target_record *find_target(target_number number) const;
     const target_record *find_target(std::string_view name) const;
     const std::map<std::string, std::vector<range_record>> &ranges() const { return m_ranges; }
-    /// Range that holds `hash`, or null if the service is not in the table.
+    /// Range that contains `hash`, or null if the service has no ranges.
     const range_record *find_range(const std::string &service, std::uint64_t hash) const;
-    /// Requests under which targets have ended.
+    /// Requests that were running when targets crashed.
     const crash_history &crashes() const { return m_crash_history; }
-    /// State version at which what nodes are told of these last changed; zero before the first.
+    /// State version at which the list of suspect requests that nodes receive last changed; 0
+    /// before the first change.
     std::uint64_t suspects_version() const { return m_suspects_version; }
     const audit_head &audit() const { return m_audit; }
-    /// What changed after `version`; nothing if that is too long ago and a full map is needed.
+    /// Changes after `version`, or nullopt if the feed no longer reaches back that far and a full
+    /// map is needed.
     std::optional<std::vector<change_feed_item>> changes_since(std::uint64_t version) const;
-    /// Answer given earlier to a change id, if it is remembered.
+    /// Stored response to the change with this id, if it is still retained.
     std::optional<change_answer> earlier_answer(const std::string &change_id) const;
 
     /// JSON text of the whole state, for snapshots. The feed of touched items is not part of it.
@@ -139,13 +142,13 @@
     std::map<std::string, std::set<target_number>> m_live; ///< by service
     target_number m_last_number = 0;
     std::map<std::string, service_ranges> m_ranges;
-    service_ranges m_no_ranges; ///< stays empty
+    service_ranges m_no_ranges; ///< always empty; returned for services without ranges
     std::deque<std::pair<std::string, change_answer>> m_answers;
     crash_history m_crash_history;
     std::uint64_t m_suspects_version = 0;
     audit_head m_audit;
     std::deque<change_feed_item> m_change_feed;
-    std::uint64_t m_feed_base_version = 0; ///< the feed is complete for versions above this
+    std::uint64_t m_feed_base_version = 0; ///< the feed is complete above this version
 };
 
 } // namespace peppertack
--- a/include/peppertack/state/crash_history.hpp
+++ b/include/peppertack/state/crash_history.hpp
@@ -8,58 +8,62 @@
 
 namespace peppertack {
 
-/// A request that was running when targets ended, as far as nodes have to know of it.
+/// A request that was running when targets crashed, as published to nodes.
 struct suspect_request {
     std::uint64_t fingerprint = 0;
-    bool quarantined = false; ///< no target is given it any more
+    bool quarantined = false; ///< not forwarded to targets
 
     friend bool operator==(const suspect_request &, const suspect_request &) = default;
 };
 
-/// What is known of a request that was running when targets ended.
+/// Crash record of one request.
 struct suspect_record {
-    std::vector<std::uint64_t> crashed_incarnations; ///< incarnations that ended while they ran it
-    std::int64_t seen_ms = 0;                        ///< wall clock at the last of these
+    std::vector<std::uint64_t>
+        crashed_incarnations; ///< target incarnations that crashed while running it
+    std::int64_t seen_ms = 0; ///< wall-clock time of the latest of these crashes
     bool quarantined = false;
 
     friend bool operator==(const suspect_record &, const suspect_record &) = default;
 };
 
-/// Which requests were running when targets ended. All that ran beside the cause of one end are
-/// under suspicion with it; only the cause is there each time (a query of death). Part of the
-/// replicated state: the same calls give equal ledgers. Not thread safe.
+/// Tracks which requests were running when targets crashed, to find the request that causes the
+/// crashes (a query of death). All requests that run on a target when it crashes become suspects;
+/// only the cause is present at every crash. Part of the replicated state: equal calls give equal
+/// histories. Not thread safe.
 class crash_history {
 public:
-    /// Lives of targets that have to end under a request until it is quarantined, if no other that
-    /// ran beside it has seen as many. Two are met by bystanders that were sent to the next target
-    /// along with the cause.
+    /// Target crashes that quarantine a request if it is the only one running with the highest
+    /// count. Two crashes can coincide with an innocent request that was resent to the next target
+    /// together with the cause.
     static constexpr std::size_t crashes_to_quarantine = 3;
-    /// So many ends quarantine each request that was there, whatever ran beside it.
+    /// Target crashes that quarantine a request regardless of the counts of other suspects.
     static constexpr std::size_t crashes_to_quarantine_regardless = 6;
-    /// From so many ends on nodes know of a request. With one end it is mostly a bystander.
+    /// Target crashes from which a request is published to nodes. A request with a single crash is
+    /// most likely not the cause.
     static constexpr std::size_t crashes_to_list = 2;
 
-    /// Records that the life of a target ended while it ran these requests. `wall_ms` only decides
-    /// what is forgotten. Yields what is quarantined by this; nothing new for a life that is known.
+    /// Records that the target incarnation `life` crashed while it ran the requests in `running`.
+    /// `wall_ms` affects only the eviction of old records. Returns the newly quarantined requests;
+    /// none for an incarnation that is already recorded.
     std::vector<std::uint64_t> record_crash(std::uint64_t life,
                                             const std::vector<std::uint64_t> &running,
                                             std::int64_t wall_ms);
-    /// Whether the end of this life was recorded a short while ago.
+    /// Whether the crash of this incarnation is among the recently recorded ones.
     bool has_recorded(std::uint64_t life) const;
-    /// A target has run the request to its end, or an operator vouches for it. False if it is not
-    /// under suspicion.
+    /// Removes a request from the suspects, because a target completed it or an operator cleared
+    /// it. Returns false if it was not a suspect.
     bool remove_suspect(std::uint64_t fingerprint);
-    /// Ends a quarantine on probation: the next end under the request brings it back. False if the
-    /// request is not quarantined.
+    /// Releases a request from quarantine on probation: the next crash under it quarantines it
+    /// again. Returns false if the request is not quarantined.
     bool put_on_probation(std::uint64_t fingerprint);
 
-    /// What nodes are told, in order of fingerprints.
+    /// Suspects as published to nodes, ordered by fingerprint.
     std::vector<suspect_request> listed() const;
     const std::map<std::uint64_t, suspect_record> &entries() const { return m_entries; }
     const std::deque<std::uint64_t> &recorded_incarnations() const {
         return m_recorded_incarnations;
     }
-    /// For snapshots.
+    /// Rebuilds the history from a snapshot.
     static crash_history restored(std::map<std::uint64_t, suspect_record> entries,
                                   std::deque<std::uint64_t> crashed_incarnations);
 
@@ -72,7 +76,7 @@
     void evict_expired(std::int64_t wall_ms);
 
     std::map<std::uint64_t, suspect_record> m_entries; ///< by fingerprint
-    std::deque<std::uint64_t> m_recorded_incarnations; ///< recorded ends, the latest is the last
+    std::deque<std::uint64_t> m_recorded_incarnations; ///< recorded crashes, oldest first
 };
 
 } // namespace peppertack
--- a/include/peppertack/state/durable_log.hpp
+++ b/include/peppertack/state/durable_log.hpp
@@ -12,7 +12,7 @@
 class storage;
 
 enum class entry_kind : std::uint8_t {
-    election, ///< first entry of a leader's term; carries nothing
+    election, ///< first entry of a leader's term; no payload
     command,  ///< payload is an encoded command
     members,  ///< payload is an encoded membership
 };
@@ -33,7 +33,7 @@
     friend bool operator==(const vote_record &, const vote_record &) = default;
 };
 
-/// State of the replicated state machine after entry `index`, with the membership in force there.
+/// State of the replicated state machine after entry `index`, with the membership at that index.
 struct log_snapshot {
     std::uint64_t index = 0;
     std::uint64_t term = 0;
@@ -43,96 +43,101 @@
     friend bool operator==(const log_snapshot &, const log_snapshot &) = default;
 };
 
-/// Why a log can't be opened.
+/// Reason why a log can't be opened.
 struct open_failure {
     std::string reason;
-    /// The disk refused a call; tried again later, it may give the log. False: what it holds is
-    /// damaged, or less than was promised.
+    /// Set for disk errors, where opening may succeed later. Not set if the stored data is damaged
+    /// or lacks acknowledged data.
     bool retryable = false;
 };
 
-/// One write that a log needs: either records to append to a file and to sync, or a snapshot with
-/// the file that follows it.
+/// One write of the log: either records to append to a file and sync, or a snapshot with the log
+/// file that follows it.
 struct log_write {
-    std::uint64_t number = 0; ///< of the last change that it holds
+    std::uint64_t number = 0; ///< number of the last change in this write
     std::string file;
     std::string records;      ///< encoded changes
-    bool begins_file = false; ///< the records replace the file
-    std::string snapshot;     ///< encoded, stored before the file begins; empty if there is none
-    std::string obsolete;     ///< file to remove afterwards; empty if there is none
+    bool begins_file = false; ///< the records replace the file's content
+    std::string snapshot;     ///< encoded; stored before the file is written; empty if none
+    std::string obsolete;     ///< file to remove afterwards; empty if none
 };
 
-/// How a write ended.
+/// Result of a write.
 struct write_outcome {
     bool written = true;
-    std::string reason; ///< of a failure
+    std::string reason; ///< set on failure
 };
 
-/// Carries out a write. Blocks for as long as the disk takes. `sync` false leaves appended records
-/// to the kernel. Thread safe as far as `files` is.
+/// Executes a write. Blocks on disk I/O. With `sync` false, appended records are left in the page
+/// cache. Thread safe if `files` is.
 write_outcome perform(const log_write &write, storage &files, bool sync);
 
-/// The voter's durable log: entries, vote and snapshot. After one failed write or sync every later
-/// call fails, so that a voter with a bad disk stops taking part instead of promising what it can't
-/// keep. `reopen` begins anew from what the disk holds. Not thread safe.
 ///
-/// By default a call returns once its change has been synced. With `write_behind` it returns at
-/// once: the change counts for all readers of the log, and its write waits for `begin_write`.
-/// Writes are made in the order of the changes, so what the disk holds is always a state that the
-/// log had. `durable_index` and `vote_durable` tell what may be promised to others.
+/// The voter's durable log: entries, vote and snapshot. After a failed write or sync all later
+/// calls fail, so that a voter with a faulty disk stops participating instead of acknowledging data
+/// that it can't persist. `reopen` starts again from the data on disk. Not thread safe.
+///
+/// By default, calls return after their change has been synced. With `write_behind` they return
+/// immediately: the change is visible to all readers of the log, and its write is queued for
+/// `begin_write`. Writes are issued in the order of the changes, so the disk always holds a state
+/// that the log had. `durable_index` and `vote_durable` report what may be acknowledged to other
+/// voters.
 class durable_log {
 public:
     struct options {
-        bool sync_writes = true; ///< off only to plant a defect in tests, and in benches
+        bool sync_writes = true; ///< disabled only for fault injection in tests and in benchmarks
         bool write_behind = false;
     };
 
-    /// Opens or creates the log. A tail that was never synced is cut off. Yields nothing, with the
-    /// reason, if a synced part is damaged: guessing there could forget an acknowledged decision.
+    /// Opens or creates the log. Truncates an unsynced tail. Returns nullopt and sets `reason` if
+    /// synced data is damaged, since skipping it could lose an acknowledged decision.
     static std::optional<durable_log> open(storage &files, options settings, std::string &reason);
     static std::optional<durable_log> open(storage &files, std::string &reason) {
         return open(files, options{}, reason);
     }
-    /// Opens the log again after `failed` could not write, and writes all of it anew, so that the
-    /// disk has shown that it takes writes and syncs. Yields nothing, with the reason, if the disk
-    /// still refuses, or if it holds less than `failed` had promised.
+    /// Reopens the log after a write of `failed` did not succeed, and rewrites it completely to
+    /// verify that the disk accepts writes and syncs. Returns nullopt if the disk still fails, or
+    /// if it lacks data that `failed` had reported as durable.
     static std::optional<durable_log> reopen(const durable_log &failed, open_failure &failure);
 
     const vote_record &vote() const { return m_vote; }
     const std::optional<log_snapshot> &snapshot() const { return m_snapshot; }
     std::uint64_t first_index() const { return m_base_index + 1; }
     std::uint64_t last_index() const { return m_base_index + m_entries.size(); }
-    /// Term of the entry at `index`; nothing if it is not held. The snapshot's own index is held.
+    /// Term of the entry at `index`, which may be the snapshot's index; nullopt if the entry is not
+    /// stored.
     std::optional<std::uint64_t> term_at(std::uint64_t index) const;
     const log_entry *entry_at(std::uint64_t index) const;
 
     bool save_vote(const vote_record &vote);
-    /// Writes entries that follow each other, replacing any held from the first one's index on, and
-    /// syncs once. Precondition: the first is at most `last_index() + 1` and above the snapshot.
+    /// Writes consecutive entries with one sync, and replaces any stored entries from the first
+    /// one's index on. Precondition: the first index is at most `last_index() + 1` and above the
+    /// snapshot.
     bool append(const std::vector<log_entry> &entries);
-    /// Stores a snapshot and drops the entries it covers.
+    /// Stores a snapshot and drops the entries that it covers.
     bool save_snapshot(const log_snapshot &snapshot);
 
-    /// The next write, which covers all changes that may share a sync; nothing while one is under
-    /// way. It is passed to `perform`, on any thread, and its outcome to `end_write`.
+    /// Returns the next write, which holds all queued changes that can share a sync; nullopt if
+    /// there is none or one is in progress. Run it with `perform` on any thread, and pass the
+    /// outcome to `end_write`.
     std::optional<log_write> begin_write();
-    /// Ends the write that was taken last.
+    /// Completes the write returned by the last `begin_write`.
     void end_write(const write_outcome &outcome);
 
     const options &settings() const { return m_options; }
-    /// Number of the last change, and of the last one that has been synced.
+    /// Numbers of the last staged change and of the last synced one.
     std::uint64_t staged() const { return m_staged; }
     std::uint64_t written() const { return m_written; }
-    /// Last entry up to which this log has been synced as it is now.
+    /// Last index up to which the current entries have been synced.
     std::uint64_t durable_index() const { return m_durable.last_index; }
-    /// Whether the current vote, with its term, has been synced.
+    /// Whether the current vote and its term have been synced.
     bool vote_durable() const { return m_durable.vote == m_vote; }
 
     bool failed() const { return m_failed; }
     const std::string &last_reason() const { return m_reason; }
 
 private:
-    /// What the disk holds once the change `number` has been synced.
+    /// Content of the disk once the change `number` has been synced.
     struct position {
         std::uint64_t number = 0;
         vote_record vote;
@@ -165,15 +170,16 @@
     std::uint64_t m_base_index = 0;
     std::uint64_t m_base_term = 0;
     std::deque<log_entry> m_entries;
-    bool m_follows_snapshot = true; ///< while reading: what comes next follows the snapshot's entry
+    bool m_follows_snapshot =
+        true; ///< while loading: the next entries continue the snapshot's history
     std::string m_file;
-    std::deque<log_write> m_writes; ///< that wait; at most the last one still takes changes
+    std::deque<log_write> m_writes; ///< queued; only the last one accepts further changes
     bool m_writing = false;
     std::uint64_t m_staged = 0;
     std::uint64_t m_written = 0;
-    std::uint64_t m_writing_up_to = 0; ///< of the write under way
+    std::uint64_t m_writing_up_to = 0; ///< last change of the write in progress
     position m_durable;
-    std::deque<position> m_positions; ///< of the changes that are not durable yet
+    std::deque<position> m_positions; ///< of the changes that are not durable
     bool m_failed = false;
     std::string m_reason;
 };
--- a/include/peppertack/state/error_kind.hpp
+++ b/include/peppertack/state/error_kind.hpp
@@ -4,8 +4,8 @@
 
 namespace peppertack {
 
-/// Closed list of reasons for which a request or an operator's call fails. The table from kind to
-/// answer is in protocol/error_answer.hpp; a static_assert there keeps the two in step.
+/// Reasons for which a request or an operator call fails. protocol/error_answer.hpp maps each kind
+/// to its response; a static_assert there checks that the mapping is complete.
 enum class error_kind : std::uint8_t {
     none,
     malformed_request,
@@ -27,18 +27,18 @@
     bad_table,
     not_leader,
     not_found,
-    no_route,              ///< no route of the routing table in force takes the request
-    not_ready,             ///< this process does not know what is in force yet
-    draining,              ///< the target is about to stop and takes no new work
-    no_target_left,        ///< the service has no target at the moment
-    dependency_overloaded, ///< a service that the target calls has no room
-    quarantined,           ///< targets have ended each time they ran the request
+    no_route,              ///< no route of the current routing table matches the request
+    not_ready,             ///< this process has not received the current configuration
+    draining,              ///< the target is stopping and accepts no new requests
+    no_target_left,        ///< the service currently has no target
+    dependency_overloaded, ///< a service that the target depends on is overloaded
+    quarantined,           ///< targets have crashed each time they ran the request
     cancelled,
 };
 
 inline constexpr int error_kind_count = static_cast<int>(error_kind::cancelled) + 1;
 
-/// What became of a request. `not_run` is only ever said where it is certain.
+/// Whether a request was executed. `not_run` is reported only where that is certain.
 enum class outcome : std::uint8_t { ran, not_run, unknown };
 
 } // namespace peppertack
--- a/include/peppertack/state/posix_storage.hpp
+++ b/include/peppertack/state/posix_storage.hpp
@@ -7,11 +7,11 @@
 
 namespace peppertack {
 
-/// Files in one folder of the local file system.
+/// Storage in one directory of the local file system.
 class posix_storage final : public storage {
 public:
-    /// Creates the folder if it is missing and locks it, so that two processes can't share it.
-    /// Yields nothing, with the reason, if that fails.
+    /// Creates the directory if it is missing and locks it against use by other processes. Returns
+    /// null and sets `reason` on failure.
     static std::unique_ptr<posix_storage> make(const std::string &folder, std::string &reason);
     ~posix_storage() override;
     posix_storage(const posix_storage &) = delete;
--- a/include/peppertack/state/routing_table.hpp
+++ b/include/peppertack/state/routing_table.hpp
@@ -11,14 +11,14 @@
 
 namespace peppertack {
 
-/// What may be done with a request whose outcome is unknown.
+/// Whether a request may be sent again when its outcome is unknown.
 enum class retry_policy : std::uint8_t {
     idempotent, ///< may run more than once
-    once,       ///< may run at most once for each request of a caller
-    once_large, ///< as `once`; bodies are large
+    once,       ///< may run at most once per request of a caller
+    once_large, ///< as `once`, for large request bodies
 };
 
-/// One of the services over which a route is split.
+/// Service that receives a share of a route's requests.
 struct weighted_service {
     std::string service;
     double weight = 1;
@@ -26,66 +26,66 @@
     friend bool operator==(const weighted_service &, const weighted_service &) = default;
 };
 
-/// Which requests go to which service, and under which limits.
+/// Maps requests to services and sets their limits.
 struct route {
     std::string name;
-    std::string host;        ///< compared without regard to case
+    std::string host;        ///< case-insensitive
     std::string path_prefix; ///< begins and ends with a slash
     retry_policy repeat = retry_policy::once;
-    duration timeout{};             ///< longest time that a request is kept waiting
-    duration latency_objective{};   ///< an answer within it earns its full worth
-    int priority = 0;               ///< 0 is the most urgent
-    std::uint32_t max_attempts = 1; ///< most targets to which one request is sent
+    duration timeout{};             ///< maximum time until a request is answered
+    duration latency_objective{};   ///< a response within it has its full value
+    int priority = 0;               ///< 0 is the highest
+    std::uint32_t max_attempts = 1; ///< targets to which one request is sent, including the first
     std::vector<weighted_service> split;
-    /// The operator's own text of this row, returned as it was given when the routing table is read
-    /// back.
+    /// Source text of this row as the operator submitted it, returned unchanged when the routing
+    /// table is read.
     std::string source;
 
     friend bool operator==(const route &, const route &) = default;
 };
 
-/// How the targets of a keyed service are told which keys they hold.
+/// How the targets of a keyed service are notified of the keys that they hold.
 enum class hold_delivery : std::uint8_t {
-    by_heartbeat, ///< in the answer to each of their heartbeats
-    by_call,      ///< by calls that the node beside the target makes
-    unknown,      ///< in a way that this program does not know: they are given none
+    by_heartbeat, ///< in the response to each heartbeat
+    by_call,      ///< by calls from the target's node
+    unknown,      ///< unsupported method; the targets get no keys
 };
 
-/// A service that routes name.
+/// Service to which routes refer.
 struct routed_service {
     std::string name;
     bool keyed = false; ///< each target owns a part of the keys, which are ordered numbers
     hold_delivery delivery = hold_delivery::by_heartbeat; ///< where `keyed`
-    std::uint32_t max_connections = 0; ///< to one target, from all callers; 0: not bounded
+    std::uint32_t max_connections = 0; ///< per target, over all callers; 0: unlimited
     std::string health_path;
     std::string source; ///< as in `route`
 
     friend bool operator==(const routed_service &, const routed_service &) = default;
 };
 
-/// Bounds on what a caller may send.
+/// Limits on requests from callers.
 struct caller_limits {
     std::size_t header_bytes = 16U << 10U;
     std::size_t body_bytes = 64U << 20U;
-    duration header_timeout = std::chrono::seconds(3); ///< for a request head to be complete
+    duration header_timeout = std::chrono::seconds(3); ///< until a request head is complete
     duration idle_timeout = std::chrono::seconds(15);  ///< of a connection between requests
     std::string source;                                ///< as in `route`
 
     friend bool operator==(const caller_limits &, const caller_limits &) = default;
 };
 
-/// What operators say of routes, the services they name and limits of requests. An immutable value
-/// once made.
+/// Routes, the services to which they refer, and request limits, as set by operators. Immutable
+/// once constructed.
 struct routing_table {
-    std::uint64_t version = 0; ///< chosen by operators; grows in uneven steps; 0: none yet
-    std::map<std::string, route> routes;            ///< by name
+    std::uint64_t version = 0;           ///< set by operators; increasing, with gaps; 0: none
+    std::map<std::string, route> routes; ///< by name
     std::map<std::string, routed_service> services; ///< by name
     caller_limits limits;
 
     friend bool operator==(const routing_table &, const routing_table &) = default;
 };
 
-/// Why a routing table can't be taken: the place in it and what is wrong there.
+/// Validation error of a routing table, with its location.
 struct routing_problem {
     std::string place;
     std::string reason;
@@ -93,17 +93,17 @@
     friend bool operator==(const routing_problem &, const routing_problem &) = default;
 };
 
-/// First fault of a routing table; nothing if it may be put in force. Thread safe.
+/// Returns the first validation error; nullopt if the routing table is valid. Thread safe.
 std::optional<routing_problem> check_routing_table(const routing_table &routing);
 
-/// Answers which route takes a request; made once for each routing table. Immutable, thread safe.
+/// Finds the route of a request; built once per routing table. Immutable, thread safe.
 class route_index {
 public:
     route_index() = default;
     explicit route_index(const routing_table &routing);
 
-    /// The route of `host` (a port is ignored) with the longest prefix that begins `path`; null if
-    /// there is none. Valid as long as this index.
+    /// Route of `host` (a port is ignored) with the longest path prefix that matches `path`; null
+    /// if there is none. Valid for the lifetime of this index.
     const route *find(std::string_view host, std::string_view path) const;
 
 private:
--- a/include/peppertack/state/table.hpp
+++ b/include/peppertack/state/table.hpp
@@ -8,8 +8,8 @@
 
 namespace peppertack {
 
-/// One row of the operators' table: one service in one failure domain. Columns, units and ranges
-/// are documented in docs/TABLE.md.
+/// One row of the operators' table: one service in one failure domain. docs/TABLE.md describes
+/// columns, units and ranges.
 struct table_row {
     std::string service;
     std::string failure_domain;
@@ -23,7 +23,7 @@
     friend bool operator==(const table_row &, const table_row &) = default;
 };
 
-/// One fault in a table file, with its place.
+/// Validation error in a table file, with its location.
 struct table_problem {
     std::size_t line = 0; ///< 1-based line in the file
     std::string column;
@@ -33,7 +33,7 @@
     friend bool operator==(const table_problem &, const table_problem &) = default;
 };
 
-/// The operators' table. Immutable once made; rows are sorted by service and failure domain.
+/// The operators' table. Immutable once constructed; rows are sorted by service and failure domain.
 class table {
 public:
     table() = default;
@@ -43,7 +43,7 @@
     const table_row *find(std::string_view service, std::string_view failure_domain) const;
     bool has_service(std::string_view service) const;
     std::vector<std::string> services() const;
-    /// The table as CSV with every column in documented order; `make_table` reads it back equal.
+    /// CSV with all columns in documented order; `make_table` parses it to an equal table.
     std::string to_csv() const;
 
     friend bool operator==(const table &, const table &) = default;
@@ -53,11 +53,11 @@
     std::vector<table_row> m_rows;
 };
 
-/// Reads a table from CSV (quotes, CRLF, byte order mark, blank lines, columns in any order).
-/// Yields nothing if anything is wrong; `problems` then lists every fault found. Thread safe.
+/// Parses a table from CSV (quoted cells, CRLF, byte order mark, blank lines, columns in any
+/// order). Returns nullopt on any error; `problems` then lists all of them. Thread safe.
 std::optional<table> make_table(std::string_view csv, std::vector<table_problem> &problems);
 
-/// One line for people: `line 3, column weight: "x" is not allowed; allowed: ...`.
+/// Human-readable line: `line 3, column weight: "x" is not allowed; allowed: ...`.
 std::string describe(const table_problem &problem);
 
 } // namespace peppertack
--- a/include/peppertack/state/text_compression.hpp
+++ b/include/peppertack/state/text_compression.hpp
@@ -7,11 +7,11 @@
 
 namespace peppertack {
 
-/// Deflates text. A routing table of 1,400 rows shrinks to a tenth, which decides whether a leader
-/// behind a link of 170 Mbit/s can tell a hundred nodes of it within a second. Thread safe.
+/// Deflates text. Reduces a routing table of 1,400 rows to a tenth, so that a leader behind a 170
+/// Mbit/s link can send it to a hundred nodes within one second. Thread safe.
 std::string compress_text(std::string_view text);
-/// Inflates what `compress_text` made. Yields nothing for anything else, and for text of more than
-/// `most` bytes. Thread safe.
+/// Inflates the output of `compress_text`. Returns nullopt for any other input and for text of more
+/// than `most` bytes. Thread safe.
 std::optional<std::string> decompress_text(std::string_view packed, std::size_t most);
 
 } // namespace peppertack
--- a/include/peppertack/state/time.hpp
+++ b/include/peppertack/state/time.hpp
@@ -5,8 +5,8 @@
 
 namespace peppertack {
 
-/// Source of all instants in the coordination library. It has no `now()`: time enters only as an
-/// argument, so that the daemon, the tests and the fuzzer drive the same code.
+/// Clock type of all instants in the coordination library. It has no `now()`: time is passed in as
+/// an argument, so that the daemon, the tests and the fuzzer run the same code.
 struct monotonic_clock {
     using duration = std::chrono::microseconds;
     using rep = duration::rep;
@@ -18,8 +18,8 @@
 using instant = monotonic_clock::time_point;
 using duration = monotonic_clock::duration;
 
-/// A step's time as seen by one process. `now` never goes back; `wall_ms` (milliseconds since the
-/// Unix epoch) is only recorded for auditors and never decides who owns a key.
+/// Time of one step as read by one process. `now` is monotonic; `wall_ms` (milliseconds since the
+/// Unix epoch) is only recorded for auditing and never decides ownership.
 struct moment {
     instant now{};
     std::int64_t wall_ms = 0;
--- a/src/state/audit_log.cpp
+++ b/src/state/audit_log.cpp
@@ -77,8 +77,8 @@
     if (m_pending.size() > m_options.max_pending_records) {
         m_pending.pop_front();
     }
-    // Given up at the first error, a record that the disk takes a second later would be missing
-    // from the chain for good.
+    // Retry pending records: dropping a record on the first error would leave a permanent gap in
+    // the chain, even if the disk accepts writes a second later.
     while (!m_pending.empty()) {
         if (!write(m_pending.front())) {
             return false;
@@ -112,7 +112,7 @@
     m_segment = segment_name(first.sequence);
     m_segment_size = 0;
     m_segment_bytes = 0;
-    // Unreadable for now: what is too old goes when the next segment begins.
+    // If the directory can't be listed, expired segments are removed when the next segment begins.
     const std::vector<std::string> names =
         segments_of(*m_files).value_or(std::vector<std::string>{});
     for (std::size_t i = 0; i + m_options.max_segments < names.size(); ++i) {
--- a/src/state/audit_record.cpp
+++ b/src/state/audit_record.cpp
@@ -57,11 +57,13 @@
         return false;
     }
     if (record.previous_hash != head.hash) {
-        reason = "record " + std::to_string(record.sequence) + " does not name the one before it";
+        reason = "record " + std::to_string(record.sequence) +
+                 ": previous_hash does not match the preceding record";
         return false;
     }
     if (audit_hash(record) != record.hash) {
-        reason = "record " + std::to_string(record.sequence) + " was changed after it was written";
+        reason = "record " + std::to_string(record.sequence) +
+                 ": hash does not match the content of the record";
         return false;
     }
     head = {record.sequence, record.hash};
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -32,10 +32,11 @@
 namespace {
 
 constexpr int state_version = 1;
-constexpr std::size_t max_remembered_answers = 50'000; ///< about three days at 17,000 changes a day
+constexpr std::size_t max_remembered_answers =
+    50'000; ///< about three days at 17,000 changes per day
 constexpr std::size_t max_change_feed_items = 250'000;
 constexpr std::size_t max_ended_targets = 1'000;
-constexpr unsigned initial_range_bits = 6; ///< 64 ranges: about 16 a target for small services
+constexpr unsigned initial_range_bits = 6; ///< 64 ranges: about 16 per target for small services
 
 std::string dump(const nlohmann::json &json) {
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -181,7 +182,7 @@
 error_kind control_state::apply_body(const change_table &body, const command &value, note &written,
                                      applied &result) {
     if (const auto earlier = earlier_answer(body.change_id)) {
-        // A resend after a lost answer: the first answer again, and nothing new for the audit.
+        // Resend after a lost response: returns the stored response and adds no audit record.
         result.answer = earlier;
         return error_kind::cancelled;
     }
@@ -221,8 +222,8 @@
     }
 }
 
-/// A service that leaves the table keeps its ranges: a typing error in the table must not lose
-/// the owners, and its targets go on until they stop.
+/// Services removed from the table keep their ranges: a mistake in the table must not remove the
+/// owners, and their targets continue until they stop.
 void control_state::add_services() {
     for (const std::string &service : m_table.services()) {
         add_ranges(service);
@@ -281,7 +282,8 @@
         answer.winner_change_id = body.change_id;
         written.after = "version " + std::to_string(m_routes.version) + "\n" + body.delta;
         add_services();
-        // Only what was accepted is remembered: a change that lost may be sent again on a new base.
+        // Only accepted changes are stored: a change rejected by a conflict may be resent on a new
+        // base version.
         remember_answer(body.change_id, answer);
     }
     result.answer = answer;
@@ -296,7 +298,7 @@
     for (const target_number number : live_targets(body.record.service)) {
         const target_record &known = m_targets.at(number);
         if (known.name == body.record.name && known.incarnation == body.record.incarnation) {
-            return error_kind::cancelled; // a repeated announcement
+            return error_kind::cancelled; // duplicate registration
         }
     }
     target_record record = body.record;
@@ -318,7 +320,7 @@
     range.owner = no_target;
     range.next = no_target;
     range.handover.clear();
-    // Requests to services with ordered keys carry no idempotency keys: there is nothing to
+    // Requests to services with ordered keys have no idempotency keys, so there are no records to
     // restore.
     if (range.memory == idempotency_state::lost || has_ordered_keys(owner.service)) {
         return;
@@ -332,17 +334,18 @@
         range.recover_of = owner.number;
         return;
     }
-    // The second loss before the first was repaired: nobody can tell a resend from a first try.
+    // Second loss before the first was recovered: resends can no longer be distinguished from first
+    // attempts.
     range.memory = idempotency_state::lost;
     range.recover_from = no_target;
     range.recover_of = no_target;
     range.lost_at_ms = wall_ms;
 }
 
-/// Ranges, moves and standbys never cross services, so what a target's end touches is found there.
+/// Ranges that the end of a target can affect: ranges, moves and standbys never cross services.
 control_state::service_ranges &control_state::ranges_of(const target_record &record) {
-    // Services without keys have none; an entry made here would look like a service that lost its
-    // ranges.
+    // Services without keys have no ranges. An empty entry created here would be read from a
+    // snapshot as lost ranges.
     const auto found = m_ranges.find(record.service);
     return found == m_ranges.end() ? m_no_ranges : found->second;
 }
@@ -375,12 +378,12 @@
     record_target_change(record.number);
 }
 
-/// Ends a registration and frees its ranges; yields how many.
+/// Ends a registration and clears the owner of its ranges. Returns the number of these ranges.
 std::size_t control_state::expire(target_record &record, std::int64_t wall_ms) {
     std::size_t lost = 0;
     for (range_record &range : ranges_of(record)) {
         if (range.recover_from == record.number && range.owner != record.number) {
-            // The copy this range was to be restored from went with the standby.
+            // The standby copy from which this range was to be restored is lost.
             range.memory = idempotency_state::lost;
             range.recover_from = no_target;
             range.recover_of = no_target;
@@ -426,8 +429,8 @@
     return error_kind::none;
 }
 
-/// Forgets registrations that ended long ago and that no range refers to. Every restart makes one,
-/// so without this the state would grow by 390 records a day.
+/// Removes registrations that ended long ago and to which no range refers. Each restart creates
+/// one, so the state would otherwise grow by 390 records a day.
 void control_state::prune_targets() {
     std::size_t live = 0;
     for (const auto &[service, numbers] : m_live) {
@@ -610,7 +613,7 @@
     if (body.standby != no_target && standby == nullptr) {
         return error_kind::cancelled;
     }
-    // A copy may only be declared complete for the standby that is in force now.
+    // Only the copy of the current standby can be marked complete.
     if (body.ready && (record->standby != body.standby || record->standby_epoch != body.epoch)) {
         return error_kind::cancelled;
     }
@@ -649,7 +652,7 @@
 error_kind control_state::apply_body(const report_crash &body, const command &value, note &written,
                                      applied &) {
     if (m_crash_history.has_recorded(body.life)) {
-        return error_kind::cancelled; // a repeated report
+        return error_kind::cancelled; // duplicate report
     }
     const std::vector<suspect_request> listed = m_crash_history.listed();
     const std::vector<std::uint64_t> quarantined =
@@ -729,7 +732,7 @@
         json.at("table_version").get_to(state.m_table_version);
         json.at("table_change_id").get_to(state.m_table_change_id);
         json.at("table_actor").get_to(state.m_table_actor);
-        // Snapshots written before there was a routing table hold none.
+        // Snapshots of earlier versions contain no routing table.
         if (const std::string routing = json.value("routes", ""); !routing.empty()) {
             std::optional<routing_table> read = decode_routing_table(routing, reason);
             if (!read) {
@@ -749,7 +752,7 @@
         json.at("ranges").get_to(state.m_ranges);
         json.at("answers").get_to(state.m_answers);
         json.at("audit").get_to(state.m_audit);
-        // Snapshots written before ends of targets were recorded hold none.
+        // Snapshots of earlier versions contain no crash history.
         if (json.contains("crashes")) {
             state.m_crash_history = crash_history::restored(
                 json.at("crashes").get<std::map<std::uint64_t, suspect_record>>(),
--- a/src/state/crash_history.cpp
+++ b/src/state/crash_history.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// A request that ends targets and comes less often than this does little harm.
+/// A request that crashes targets less often than this does little harm.
 constexpr std::int64_t suspect_retention_ms = 600'000;
-/// At 18 requests a target, the suspects of some hundred targets that end together.
+/// At 18 requests per target, covers some hundred targets that crash together.
 constexpr std::size_t max_entries = 4096;
-/// Reports are repeated until they are known to be recorded, for seconds at most.
+/// Bounds the detection of duplicate reports, which are resent until acknowledged, for seconds at
+/// most.
 constexpr std::size_t max_recorded_incarnations = 1024;
 
 } // namespace
@@ -51,7 +52,8 @@
     return quarantined;
 }
 
-/// Bystanders of these ends are as good as any other request.
+/// Discounts the crashes attributed to `cause` from all other suspects: these requests are no more
+/// suspect than any other.
 void crash_history::discount_crashes_of(std::uint64_t cause) {
     const std::vector<std::uint64_t> explained = m_entries.at(cause).crashed_incarnations;
     for (auto &[fingerprint, other] : m_entries) {
@@ -65,7 +67,7 @@
                   [](const auto &item) { return item.second.crashed_incarnations.empty(); });
 }
 
-/// The cause was there at each end, so no bystander has seen more ends than it has.
+/// The cause was running at each crash, so no other request can have a higher count.
 std::vector<std::uint64_t>
 crash_history::quarantine_suspects(const std::map<std::uint64_t, suspect_record *> &suspects) {
     std::size_t most = 0;
@@ -124,8 +126,8 @@
     return ledger;
 }
 
-/// A quarantine outlives suspicions: only an operator, a run to the end or the leader's clock ends
-/// it.
+/// Quarantines do not expire here: they end when an operator clears the request, a target completes
+/// it, or the leader ends the quarantine by its clock.
 void crash_history::evict_expired(std::int64_t wall_ms) {
     std::erase_if(m_entries, [&](const auto &item) {
         return !item.second.quarantined && item.second.seen_ms + suspect_retention_ms < wall_ms;
--- a/src/state/durable_log.cpp
+++ b/src/state/durable_log.cpp
@@ -11,12 +11,12 @@
 
 namespace {
 
-// A file is a sequence of frames:
+// A log file is a sequence of frames:
 //
-//   | mark 4 | version 1 | body size 4 | checksum 8 | body ... |
+//   | magic 4 | version 1 | body size 4 | checksum 8 | body ... |
 //
-// One write holds one frame and one sync covers it, so at most the last frame can be torn. The
-// checksum covers version, size and body. Numbers are little endian.
+// Each write is one frame with one sync, so at most the last frame can be torn. The checksum covers
+// version, size and body. Numbers are little endian.
 constexpr std::string_view frame_mark = "PTL\x1f";
 constexpr std::uint8_t frame_version = 1;
 constexpr std::size_t header_size = 4 + 1 + 4 + 8;
@@ -121,8 +121,8 @@
     return {.state = frame_state::whole, .body = body, .size = header_size + size};
 }
 
-/// Is there a whole frame anywhere behind a bad one? Only the last write can be torn, so a whole
-/// frame behind it means that synced bytes were damaged.
+/// Whether a valid frame follows an invalid one. Only the last write can be torn, so a valid frame
+/// after an invalid one means that synced data was damaged.
 bool whole_frame_follows(std::string_view bytes) {
     for (std::size_t at = bytes.find(frame_mark, 1); at != std::string_view::npos;
          at = bytes.find(frame_mark, at + 1)) {
@@ -156,7 +156,8 @@
     return body;
 }
 
-/// The vote goes first: without it a restart could vote twice in one term.
+/// The vote is written first: if it were missing, a voter could vote twice in one term after a
+/// restart.
 std::string file_records(const vote_record &vote, const std::deque<log_entry> &entries) {
     std::string records;
     put_vote(records, vote);
@@ -218,12 +219,13 @@
         return std::nullopt;
     }
     if (!log.holds_durable_state_of(failed)) {
-        failure = {.reason =
-                       "the disk holds less than was promised; replace this voter by a new one"};
+        failure = {.reason = "the disk lacks data that this voter acknowledged; replace this voter "
+                             "by a new one"};
         return std::nullopt;
     }
-    // What was read may be in the kernel's memory only: pages that a failed sync dropped are read
-    // as written and never reach the disk, whatever later syncs say. New files have no such pages.
+    // The data read may exist only in the page cache: pages that a failed sync dropped read back as
+    // written but never reach the disk, whatever later syncs report. New files contain no such
+    // pages.
     log_write write = log.initial_write();
     if (log.m_snapshot) {
         write.snapshot = encode(*log.m_snapshot);
@@ -237,9 +239,9 @@
     return log;
 }
 
-/// The write that failed may have reached the disk, so there may be more than was promised: a later
-/// vote, or entries of a later term in place of some. Less would mean that a vote can be given
-/// twice or that an acknowledged entry is gone.
+/// The failed write may have reached the disk, so the disk may hold more than was acknowledged: a
+/// later vote, or entries of a later term in place of others. Holding less would mean that a vote
+/// could be given twice or that an acknowledged entry is lost.
 bool durable_log::holds_durable_state_of(const durable_log &earlier) const {
     const vote_record &promised = earlier.m_durable.vote;
     const bool same_term = m_vote.term == promised.term;
@@ -248,13 +250,13 @@
     if (!vote_held || m_base_index < earlier.m_durable.base_index) {
         return false;
     }
-    // What a snapshot covers that was still to be written can't be compared any more.
+    // Entries covered by a snapshot that was not written yet can no longer be compared.
     std::uint64_t index = std::max(m_base_index, earlier.m_base_index);
     for (; index <= earlier.m_durable.last_index; ++index) {
         const std::optional<std::uint64_t> held = term_at(index);
         const std::uint64_t wanted = earlier.term_at(index).value_or(0);
         if (held != wanted) {
-            return held > wanted; // nothing is less than any term
+            return held > wanted; // nullopt compares less than any term
         }
     }
     return true;
@@ -274,8 +276,8 @@
     if (has_snapshot && !load_snapshot(failure)) {
         return false;
     }
-    // A crash between storing a snapshot and starting its file leaves the older file as the newest
-    // one; its entries that the snapshot covers are passed over while reading.
+    // After a crash between storing a snapshot and creating its log file, the newest file is the
+    // previous one; the entries in it that the snapshot covers are skipped while loading.
     std::vector<std::string> logs;
     for (const std::string &name : *names) {
         if (name.rfind(log_prefix, 0) == 0) {
@@ -317,7 +319,7 @@
     snapshot.members = in.text();
     snapshot.state = in.text();
     if (!in.ok() || !in.at_end()) {
-        failure = {.reason = "the snapshot file has an unknown form"};
+        failure = {.reason = "the snapshot file has an unknown format"};
         return false;
     }
     m_base_index = snapshot.index;
@@ -356,7 +358,7 @@
         at += next.size;
     }
     if (at < bytes->size() && !m_files->truncate(name, at)) {
-        return refused_by_disk("can't cut the torn tail of " + name, failure);
+        return refused_by_disk("can't truncate the torn tail of " + name, failure);
     }
     return true;
 }
@@ -378,21 +380,22 @@
                 return false;
             }
         } else {
-            reason = "unknown kind of record";
+            reason = "unknown record kind";
             return false;
         }
     }
     if (!in.ok()) {
-        reason = "a record is shorter than it says";
+        reason = "a record is truncated: the frame ends before its last field";
     }
     return in.ok();
 }
 
 bool durable_log::take_entry(log_entry entry, std::string &reason) {
     if (entry.index <= m_base_index) {
-        // It replaced all behind it, and what follows another entry than the snapshot's last one
-        // is of another history. Kept, either would let the log end in an earlier term than it
-        // does, and a candidate that lacks committed entries would be given this vote.
+        // This entry replaced all entries after it, and entries that follow a different entry than
+        // the snapshot's last one belong to another history. Keeping either could make the log
+        // appear to end in an earlier term, and this voter would vote for a candidate that lacks
+        // committed entries.
         m_entries.clear();
         m_follows_snapshot = entry.index < m_base_index || entry.term == m_base_term;
         return true;
@@ -401,7 +404,7 @@
         return true;
     }
     if (entry.index > last_index() + 1) {
-        reason = "entry " + std::to_string(entry.index) + " follows entry " +
+        reason = "entry " + std::to_string(entry.index) + " is not contiguous with entry " +
                  std::to_string(last_index());
         return false;
     }
@@ -486,7 +489,7 @@
     return true;
 }
 
-/// The file that follows the snapshot, as it is begun.
+/// Initial content of the log file that follows the snapshot.
 log_write durable_log::initial_write() {
     log_write write{.file = file_name(m_base_index),
                     .records = file_records(m_vote, m_entries),
@@ -510,7 +513,7 @@
         m_writes.back().records.size() + records.size() > max_write_bytes) {
         return stage({.file = m_file, .records = std::move(records)});
     }
-    // One frame, so that still only the last one can be torn.
+    // Kept in one frame, so that only the last frame of the file can be torn.
     m_writes.back().records += records;
     m_writes.back().number = ++m_staged;
     return true;
@@ -565,8 +568,8 @@
     }
 }
 
-/// Entries behind `last_index` are replaced: that their old versions become durable counts for
-/// nothing.
+/// Entries after `last_index` are replaced, so syncs of their previous versions no longer make them
+/// durable.
 void durable_log::truncate_positions(std::uint64_t last_index) {
     m_durable.last_index = std::min(m_durable.last_index, last_index);
     for (position &item : m_positions) {
@@ -574,8 +577,8 @@
     }
 }
 
-/// After a failed sync the kernel may have dropped the pages: what is on the disk is not known, so
-/// no later success can be believed.
+/// After a failed sync the kernel may have dropped dirty pages: the content of the disk is unknown,
+/// so later successful syncs prove nothing.
 bool durable_log::fail(const std::string &reason) {
     m_failed = true;
     m_writes.clear();
--- a/src/state/json_fields.hpp
+++ b/src/state/json_fields.hpp
@@ -16,12 +16,12 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(target_record, number, name, service, failure_domain,
                                    node_address, incarnation, slots, connections, checks_tokens,
                                    phase, standby, standby_ready, standby_epoch)
-// Records written before `handover` was added have none.
+// Records of earlier versions have no `handover`.
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE_WITH_DEFAULT(range_record, first, owner, token, next, memory,
                                                 recover_from, recover_of, lost_at_ms, handover)
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(change_table, change_id, base_version, csv)
 
-/// Logs on disk call the delta "sheet".
+/// The durable log stores the delta in the field "sheet".
 inline void to_json(nlohmann::json &json, const change_routes &item) {
     json = {
         {"change_id", item.change_id}, {"base_version", item.base_version}, {"sheet", item.delta}};
--- a/src/state/posix_storage.cpp
+++ b/src/state/posix_storage.cpp
@@ -15,8 +15,9 @@
 
 constexpr const char *lock_file = "lock";
 constexpr int file_mode = 0640;
-constexpr std::size_t read_block = 64U << 10U; ///< bytes; few calls for a log of some megabytes
-/// Ends the name under which a replacement is written until it is whole.
+constexpr std::size_t read_block =
+    64U << 10U; ///< bytes; keeps the number of calls low for logs of some megabytes
+/// Suffix of the temporary file to which a replacement is written.
 constexpr std::string_view temporary_suffix = ".new";
 
 bool write_all(int handle, std::string_view bytes) {
@@ -89,9 +90,9 @@
     for (; !error && items != std::filesystem::directory_iterator(); items.increment(error)) {
         const std::filesystem::directory_entry &item = *items;
         const std::string name = item.path().filename().string();
-        // What a crash left of a replacement is no file yet. Taken for one, it would be the newest
-        // log, and the vote and entries of the real one would be forgotten.
-        std::error_code gone; // removed meanwhile
+        // Ignore temporary files left by a crash. Otherwise one would be taken for the newest log,
+        // and the vote and entries of the actual log would be lost.
+        std::error_code gone; // the file may have been removed concurrently
         if (item.is_regular_file(gone) && name != lock_file && !name.ends_with(temporary_suffix)) {
             names.push_back(name);
         }
@@ -107,7 +108,8 @@
 std::optional<std::string> posix_storage::read(const std::string &name) {
     const int handle = ::open(path_of(name).c_str(), O_RDONLY | O_CLOEXEC);
     std::string content;
-    // An error midway must not look like the end: the rest of the log would be cut off as torn.
+    // A read error must not look like the end of the file: the rest of the log would be truncated
+    // as a torn tail.
     if (handle < 0 || !read_all(handle, content)) {
         fail("read " + name);
         close_if_open(handle);
@@ -126,7 +128,7 @@
         ::open(path_of(name).c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, file_mode);
     if (handle < 0 || !sync_folder()) {
         fail("open " + name);
-        close_if_open(handle); // one is tried for each write while the disk fails
+        close_if_open(handle); // each write opens a new one while the disk fails
         return -1;
     }
     m_handles[name] = handle;
@@ -171,7 +173,7 @@
     ::close(handle);
     if (!written || ::rename(fresh.c_str(), path_of(name).c_str()) != 0) {
         fail("replace " + name);
-        ::unlink(fresh.c_str()); // on a full disk its bytes would keep the next try from its room
+        ::unlink(fresh.c_str()); // frees the space for a retry on a full disk
         return false;
     }
     return sync_folder();
--- a/src/state/routing_delta.cpp
+++ b/src/state/routing_delta.cpp
@@ -10,7 +10,7 @@
 
 constexpr int routing_version = 1;
 
-/// Rows of `to` that `from` lacks or has otherwise.
+/// Rows of `to` that are missing from `from` or differ.
 template <class Row>
 std::map<std::string, Row> changed_rows(const std::map<std::string, Row> &from,
                                         const std::map<std::string, Row> &to) {
@@ -85,7 +85,7 @@
 static void from_json(const nlohmann::json &json, routed_service &item) {
     json.at("name").get_to(item.name);
     json.at("keyed").get_to(item.keyed);
-    // Logs of earlier programs do not have it: they knew one way only.
+    // Logs of earlier versions lack the field; those versions supported only heartbeats.
     item.delivery = json.value("delivery", hold_delivery::by_heartbeat);
     json.at("max_connections").get_to(item.max_connections);
     json.at("health_path").get_to(item.health_path);
@@ -163,7 +163,7 @@
     both.version = second.version;
     replace_rows(both.routes, second.removed_routes, second.routes);
     replace_rows(both.services, second.removed_services, second.services);
-    // A row that comes again stands among both: rows are removed first.
+    // A row that is removed and added again is in both sets; removals are applied first.
     both.removed_routes.insert(second.removed_routes.begin(), second.removed_routes.end());
     both.removed_services.insert(second.removed_services.begin(), second.removed_services.end());
     both.limits = second.limits ? second.limits : both.limits;
@@ -204,7 +204,7 @@
             reason = "routing table version " + json.at("v").dump() + " is not supported";
             return std::nullopt;
         }
-        // Whole routing tables that were written before there were deltas have no base.
+        // Complete routing tables written by earlier versions have no base version.
         routing_delta delta{.base_version = json.value("base", std::uint64_t{0})};
         json.at("version").get_to(delta.version);
         delta.routes = rows_of<route>(json.at("routes"));
--- a/src/state/routing_table.cpp
+++ b/src/state/routing_table.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// A latency objective this far above its route's timeout can't be meant.
+/// A latency objective above its route's timeout by this much is taken as a mistake.
 constexpr duration max_objective_excess = std::chrono::minutes(1);
 
 std::string lower(std::string_view text) {
--- a/src/state/table.cpp
+++ b/src/state/table.cpp
@@ -72,7 +72,7 @@
 
 constexpr const char *name_allowed = "1 to 64 of letters, digits, '-', '_', '.'";
 
-/// How one column is read: a null `member` pointer kind is not possible, each sets exactly one.
+/// Parsing rule of one column.
 struct column_rule {
     const char *name;
     const char *allowed;
@@ -113,8 +113,8 @@
      read_bounded<&table_row::unavailable_price, 0, max_weight>},
 }};
 
-/// Splits the file into rows. libcsv does not report lines, so it is fed one physical line at a
-/// time and a row is numbered by the line on which it began.
+/// Splits the file into rows. libcsv does not report line numbers, so it is fed one physical line
+/// at a time; a row is numbered by the line on which it begins.
 bool split_rows(std::string_view text, csv_reader &reader, std::vector<table_problem> &problems) {
     csv_parser parser{};
     if (csv_init(&parser, CSV_STRICT | CSV_STRICT_FINI | CSV_APPEND_NULL) != 0) {
--- a/src/state/text_compression.cpp
+++ b/src/state/text_compression.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Most of what can be saved, at a fifth of the time that the library's usual level takes.
+/// Gives most of the size reduction in a fifth of the time of zlib's default level.
 constexpr int level = 1;
 constexpr std::size_t step = 16U << 10U;
 
--- a/tests/state/control_state_test.cpp
+++ b/tests/state/control_state_test.cpp
@@ -13,7 +13,7 @@
 constexpr const char *one_service =
     "service,failure_domain,weight,max_in_flight,max_connections,max_queue\na,z,1,1,1,1\n";
 
-/// A state with the indices of its log counted.
+/// Applies commands to a state with consecutive log indices.
 class state_driver {
 public:
     control_state state;
@@ -35,10 +35,10 @@
 
 } // namespace
 
-TEST_CASE("operators race with equal versions: exactly one wins, a resend gets the first answer") {
-    // Symptom: an edit vanishes, or two operators both believe theirs is in force. Sequence: both
-    // read version 0 and send; one loses the answer and sends again. Cause it guards against:
-    // applying by arrival instead of compare-and-set, and judging a resend anew.
+TEST_CASE("of two table changes on one version one wins, and a resend gets the first answer") {
+    // Guards against a lost edit or two operators whose changes both seem accepted. Both read
+    // version 0 and send a change; one loses the response and resends. Occurs if changes apply in
+    // order of arrival instead of by compare-and-set, or if a resend is evaluated again.
     state_driver driven;
     const auto first = driven.apply(change_table{"one", 0, one_service});
     const auto second = driven.apply(change_table{"two", 0, one_service});
@@ -52,10 +52,10 @@
     CHECK_FALSE(again.audit);
 }
 
-TEST_CASE("a release for a move that was called off is void") {
-    // Symptom: a range has two owners. Sequence: A hands a range over to B and reports it; B is
-    // lost and the move is called off, so A serves again; the late report arrives. Cause it guards
-    // against: a report that names only the range and token, which are the same in both plans.
+TEST_CASE("a release for a cancelled move is void") {
+    // Guards against two owners of a range. A hands the range over to B and reports the release; B
+    // is lost and the move is cancelled, so A serves again; then the delayed report arrives. Range
+    // and token are the same in both moves, so a report must also name the destination.
     state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     const target_number a = driven.join("a");
@@ -69,10 +69,10 @@
     CHECK(driven.state.find_range("a", 0)->owner == a);
 }
 
-TEST_CASE("a second loss before the first is repaired loses the memory of keys, and says so") {
-    // Symptom: a doubled payment after two losses. Sequence: the owner is lost, its standby holds
-    // the keys; the new owner is lost before it has fetched them. Cause it guards against: taking
-    // the new owner's empty standby copy for the whole memory.
+TEST_CASE("a second loss before recovery from the first marks the idempotency records as lost") {
+    // Guards against running a payment twice after two losses. The owner is lost while its standby
+    // has the keys; the new owner is lost before it has fetched them. Its empty standby copy must
+    // not be taken for the complete records.
     state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     const target_number a = driven.join("a");
@@ -91,11 +91,11 @@
     CHECK(driven.state.find_range("a", 0)->memory == idempotency_state::lost);
 }
 
-TEST_CASE("a report of restored keys from an owner that was lost meanwhile is void") {
-    // Symptom: a payment runs twice after two losses. Sequence: B takes over from A, fetches the
-    // keys from A's standby and reports it; B is lost before the report is decided on. Cause it
-    // guards against: the range's token is still B's, so the report seemed to fit and the memory
-    // counted as complete although it went with B. (Found by the fuzzer, sequence 1507.)
+TEST_CASE("a report of restored keys from an owner lost since is void") {
+    // Guards against running a payment twice after two losses. B takes over from A, fetches the
+    // keys from A's standby and reports it, but is lost before the report is applied. The range
+    // still has B's token, so without a check of the owner the report would mark the records
+    // complete although they were lost with B.
     state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     const target_number a = driven.join("a");
@@ -113,7 +113,7 @@
     CHECK(driven.state.find_range("a", 0)->memory == idempotency_state::lost);
 }
 
-TEST_CASE("equal states are written and read back") {
+TEST_CASE("a state survives encoding and decoding") {
     state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     const target_number a = driven.join("a");
@@ -129,7 +129,7 @@
     CHECK_FALSE(reason.empty());
 }
 
-TEST_CASE("registrations that ended are forgotten in time") {
+TEST_CASE("old registrations that ended are removed") {
     state_driver driven;
     driven.apply(change_table{"one", 0, one_service});
     for (int i = 0; i < 2500; ++i) {
@@ -138,7 +138,7 @@
     CHECK(driven.state.targets().size() <= 1000);
 }
 
-TEST_CASE("the chain of decisions shows changed and missing records") {
+TEST_CASE("verifying the audit chain detects changed and missing records") {
     fake_storage files;
     std::string reason;
     auto log = audit_log::open(files, {.segment_records = 3}, reason);
@@ -150,7 +150,7 @@
         log->append(*driven.apply(drain_target{number}).audit);
     }
     std::vector<audit_record> records = log->read_all();
-    CHECK_FALSE(verify_chain(records).whole); // registrations were not handed to this log
+    CHECK_FALSE(verify_chain(records).whole); // registrations were not appended to this log
     records.clear();
     state_driver other;
     for (int i = 0; i < 4; ++i) {
@@ -165,10 +165,10 @@
     CHECK_FALSE(verify_chain(records).whole);
 }
 
-TEST_CASE("the archive holds what was decided while its disk was full") {
-    // The chain of decisions of one voter lacked some for good. Its disk was full for a moment: the
-    // records of that moment were dropped after one line "audit_write_failed" each, and the next
-    // one that could be written began a segment behind the gap.
+TEST_CASE("the audit log keeps records appended while the disk was full") {
+    // Guards against permanent gaps in a voter's audit chain. If records are dropped with one
+    // "audit_write_failed" log line each while the disk is full, the next successful write starts a
+    // segment after the gap.
     fake_storage files;
     std::string reason;
     auto log = audit_log::open(files, {.segment_records = 3}, reason);
@@ -193,7 +193,7 @@
     CHECK(verify_chain(records).whole);
 }
 
-TEST_CASE("no bytes crash the readers of commands, states and audit records") {
+TEST_CASE("corrupted input does not crash the decoders of commands, states and audit records") {
     const std::string written = encode(command{5, "a", "b", grant_ranges{"s", {{1, 2}}}});
     std::string reason;
     CHECK(decode_command(written, reason) == command{5, "a", "b", grant_ranges{"s", {{1, 2}}}});
--- a/tests/state/crash_history_test.cpp
+++ b/tests/state/crash_history_test.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-TEST_CASE("what runs at three ends in a row is quarantined, what runs at two of them is not") {
+TEST_CASE("a request running at three crashes is quarantined, one running at two is not") {
     crash_history ledger;
     CHECK(ledger.record_crash(11, {cause, bystander}, 0).empty());
     CHECK(ledger.listed().empty());
@@ -29,18 +29,18 @@
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, true}});
 }
 
-TEST_CASE("ends that a quarantined request explains count against no other") {
+TEST_CASE("crashes attributed to a quarantined request do not count against others") {
     crash_history ledger;
     for (const std::uint64_t life : {11, 12}) {
         ledger.record_crash(life, {cause, bystander}, 0);
     }
     CHECK(ledger.record_crash(13, {cause}, 0) == fingerprints{cause});
-    ledger.record_crash(14, {cause, bystander}, 0); // it was on its way to the target by then
+    ledger.record_crash(14, {cause, bystander}, 0); // already on its way to the target
     CHECK(ledger.record_crash(15, {bystander}, 0).empty());
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, true}});
 }
 
-TEST_CASE("of two that ran at the same three ends none is quarantined before one stands out") {
+TEST_CASE("requests with equal crash counts are not quarantined until one has more") {
     crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
         CHECK(ledger.record_crash(life, {cause, bystander}, 0).empty());
@@ -48,7 +48,7 @@
     CHECK(ledger.record_crash(14, {cause, bystander + 1}, 0) == fingerprints{cause});
 }
 
-TEST_CASE("two that always run together are both quarantined in the end") {
+TEST_CASE("two requests that always run together are both quarantined after six crashes") {
     crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13, 14, 15}) {
         CHECK(ledger.record_crash(life, {cause, bystander}, 0).empty());
@@ -56,7 +56,7 @@
     CHECK(ledger.record_crash(16, {cause, bystander}, 0) == fingerprints{cause, bystander});
 }
 
-TEST_CASE("an end that is reported again counts once") {
+TEST_CASE("a duplicate crash report counts once") {
     crash_history ledger;
     for (int i = 0; i < 4; ++i) {
         CHECK(ledger.record_crash(11, {cause}, 0).empty());
@@ -64,7 +64,7 @@
     CHECK(ledger.listed().empty());
 }
 
-TEST_CASE("a run to the end clears what was suspected") {
+TEST_CASE("completing a request removes it from the suspects") {
     crash_history ledger;
     ledger.record_crash(11, {cause}, 0);
     ledger.record_crash(12, {cause}, 0);
@@ -73,7 +73,7 @@
     CHECK(ledger.record_crash(13, {cause}, 0).empty());
 }
 
-TEST_CASE("after a quarantine one end is enough to bring it back") {
+TEST_CASE("one crash on probation quarantines a request again") {
     crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
         ledger.record_crash(life, {cause}, 0);
@@ -84,7 +84,7 @@
     CHECK(ledger.record_crash(14, {cause}, 0) == fingerprints{cause});
 }
 
-TEST_CASE("a suspicion is forgotten with time, a quarantine is not") {
+TEST_CASE("suspects expire, quarantined requests do not") {
     crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
         ledger.record_crash(life, {cause}, 0);
@@ -95,7 +95,7 @@
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, true}});
 }
 
-TEST_CASE("many ends at once push out suspicions, never a quarantine") {
+TEST_CASE("many simultaneous crashes evict suspects, but no quarantined request") {
     crash_history ledger;
     for (const std::uint64_t life : {11, 12, 13}) {
         ledger.record_crash(life, {cause}, 0);
@@ -112,7 +112,7 @@
     CHECK(ledger.listed() == std::vector<suspect_request>{{cause, true}});
 }
 
-TEST_CASE("the replicated state keeps what ended targets ran, through a snapshot") {
+TEST_CASE("the crash history survives a snapshot of the replicated state") {
     control_state state;
     std::uint64_t index = 0;
     for (const std::uint64_t life : {11, 12, 13}) {
--- a/tests/state/durable_log_test.cpp
+++ b/tests/state/durable_log_test.cpp
@@ -26,13 +26,13 @@
 
 } // namespace
 
-TEST_CASE("what was appended is there after opening again") {
+TEST_CASE("appended entries survive reopening") {
     fake_storage files;
     {
         durable_log log = opened(files);
         CHECK(log.save_vote({3, "a"}));
         CHECK(log.append({entry(1, 1), entry(2, 1), entry(3, 2)}));
-        CHECK(log.append({entry(2, 3)})); // a new leader replaces the end
+        CHECK(log.append({entry(2, 3)})); // a new leader replaces the tail
     }
     const durable_log log = opened(files);
     CHECK(log.vote() == vote_record{3, "a"});
@@ -42,10 +42,9 @@
     CHECK(log.entry_at(3) == nullptr);
 }
 
-TEST_CASE("a torn tail is cut, and what was synced before it stays") {
-    // Symptom: a voter that lost power refuses to start. Sequence: append and sync; append again
-    // and crash before the sync, which leaves a part of the last frame. Cause it guards against:
-    // taking a half-written frame for damage.
+TEST_CASE("a torn tail is truncated and the synced entries before it are kept") {
+    // Guards against a voter that refuses to start after a power loss. A crash between append and
+    // sync leaves a part of the last frame, which must not be taken for damage.
     std::mt19937_64 random(7);
     for (int round = 0; round < 200; ++round) {
         fake_storage files;
@@ -61,10 +60,10 @@
     }
 }
 
-TEST_CASE("a damaged middle is refused") {
-    // Symptom: an acknowledged decision is missing after a restart and nobody was told. Sequence:
-    // two synced frames; a bit of the first one rots; restart. Cause it guards against: cutting at
-    // the first bad checksum although synced frames follow.
+TEST_CASE("damage before the last frame is rejected") {
+    // Guards against silently losing an acknowledged decision. A bit of the first of two synced
+    // frames flips before a restart; truncating at the first bad checksum would drop the second
+    // frame too.
     fake_storage files;
     {
         durable_log log = opened(files);
@@ -78,7 +77,7 @@
     CHECK(reason.find("damaged") != std::string::npos);
 }
 
-TEST_CASE("after one failed write nothing more is promised") {
+TEST_CASE("all writes fail after one failed write") {
     fake_storage files;
     durable_log log = opened(files);
     files.set_fault(fake_storage::fault::full);
@@ -89,7 +88,7 @@
     CHECK(log.last_reason().find("disk full") != std::string::npos);
 }
 
-TEST_CASE("a snapshot drops what it covers and keeps the rest and the vote") {
+TEST_CASE("a snapshot drops the entries it covers and keeps the rest and the vote") {
     fake_storage files;
     {
         durable_log log = opened(files);
@@ -107,7 +106,7 @@
     CHECK(files.list()->size() == 2);
 }
 
-TEST_CASE("no bytes in the log file crash the voter") {
+TEST_CASE("a corrupted log file does not crash the voter") {
     CHECK(rc::check("changed bytes", [] {
         fake_storage files;
         {
@@ -127,11 +126,11 @@
     }));
 }
 
-TEST_CASE("a file that was not finished is not taken for the log") {
-    // A voter that was killed while it began a new file for its log came up with an empty log and
-    // without its vote: it read the file under its temporary name, which sorts behind the whole
-    // one, and removed the whole one. It could have voted twice in one term, and entries that it
-    // had acknowledged were gone. On a disk whose syncs take seconds the kill has as long to come.
+TEST_CASE("a partially created log file is not taken for the log") {
+    // Guards against losing vote and entries when a voter is killed while it creates a log file,
+    // which is the more likely the slower the syncs are. The temporary file sorts after the
+    // complete one; if it were read as the newest log, the complete one would be removed, and the
+    // voter could vote twice in one term.
     const std::string folder = std::filesystem::temp_directory_path() /
                                ("peppertack-unfinished-" + std::to_string(::getpid()));
     std::filesystem::remove_all(folder);
@@ -154,14 +153,14 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("files on a real disk") {
+TEST_CASE("a log on a real file system") {
     const std::string folder =
         std::filesystem::temp_directory_path() / ("peppertack-test-" + std::to_string(::getpid()));
     std::string reason;
     {
         const auto files = posix_storage::make(folder, reason);
         REQUIRE(files);
-        CHECK_FALSE(posix_storage::make(folder, reason)); // one process at a time
+        CHECK_FALSE(posix_storage::make(folder, reason)); // locked against a second process
         durable_log log = opened(*files);
         CHECK(log.append({entry(1, 1), entry(2, 1)}));
         CHECK(log.save_snapshot({1, 1, "m", "s"}));
@@ -177,11 +176,11 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("a replacement that was not finished is taken for no file") {
-    // A voter forgot its vote and its entries. Room ran out while the file behind a new snapshot
-    // was being written under the name "log-00000000000000000002.new"; the part that was written
-    // stayed, sorted behind the real file, was read as the newest log and cut to nothing, and the
-    // real one was removed as an older one.
+TEST_CASE("a partially written replacement file is ignored") {
+    // Guards against losing vote and entries when the disk fills up while the log file after a
+    // snapshot is written as "log-00000000000000000002.new". The partial file sorts after the
+    // actual log; if it were read as the newest log, it would be truncated to nothing and the
+    // actual one removed.
     const std::string folder = std::filesystem::temp_directory_path() /
                                ("peppertack-test-half-" + std::to_string(::getpid()));
     std::string reason;
@@ -201,11 +200,11 @@
     std::filesystem::remove_all(folder);
 }
 
-TEST_CASE("entries that were replaced do not come back behind a snapshot") {
-    // A voter held a last entry that no leader counted any more, and could have voted for one that
-    // lacked an acknowledged decision, since its own log seemed to end in an earlier term. The
-    // snapshot had been stored, the file for what follows it had not: the older file was read on,
-    // passing over what the snapshot covers, and with it over what had replaced the entries behind.
+TEST_CASE("replaced entries do not reappear after a snapshot") {
+    // Guards against a voter whose log seems to end in an earlier term, so that it could vote for a
+    // candidate that lacks an acknowledged decision. After a crash between storing a snapshot and
+    // creating its log file, the previous file is loaded; skipping the entries that the snapshot
+    // covers must not skip their replacement of the entries after them.
     const auto reopened_over = [](const auto &write, const log_snapshot &snapshot) {
         fake_storage files;
         durable_log log = opened(files);
@@ -213,7 +212,7 @@
         const std::string name = files.list()->back();
         const std::string older = files.bytes_of(name);
         REQUIRE(log.save_snapshot(snapshot));
-        files.remove(files.list()->front()); // the file begun behind the snapshot
+        files.remove(files.list()->front()); // the log file created after the snapshot
         files.replace(name, older);
         return opened(files);
     };
@@ -238,10 +237,10 @@
     CHECK(same_history.last_index() == 4);
 }
 
-TEST_CASE("a disk that can't be read is not taken for an empty one") {
-    // A voter began anew under its old name, without the vote and the entries that it had promised.
-    // A folder or file that could not be read for a moment counted as missing, and the log was
-    // begun over the real one.
+TEST_CASE("an unreadable disk is not taken for an empty one") {
+    // Guards against a voter that restarts under its name without its vote and acknowledged
+    // entries. A directory or file that can't be read temporarily must not count as missing, or an
+    // empty log would replace the actual one.
     fake_storage files;
     {
         durable_log log = opened(files);
@@ -258,7 +257,7 @@
     CHECK(log.last_index() == 2);
 }
 
-TEST_CASE("a log is opened again once the disk takes writes, and holds what was promised") {
+TEST_CASE("a log reopens with all durable data once the disk accepts writes") {
     fake_storage files;
     durable_log log = opened(files);
     REQUIRE(log.save_vote({7, "a"}));
@@ -279,9 +278,9 @@
     CHECK(opened(files).term_at(4) == 2);
 }
 
-TEST_CASE("what a failed sync left in doubt is on the disk when the log is opened again") {
-    // The kernel may drop the pages of a sync that failed: they are read as written, and no later
-    // sync brings them to the disk.
+TEST_CASE("reopening rewrites data that a failed sync left in doubt") {
+    // The kernel may drop the dirty pages of a failed sync: they read back as written, but no later
+    // sync writes them to disk.
     std::mt19937_64 random(11);
     for (int round = 0; round < 50; ++round) {
         fake_storage files;
@@ -301,7 +300,7 @@
     }
 }
 
-TEST_CASE("a disk that holds less than was promised is not taken again") {
+TEST_CASE("reopening fails if the disk lacks acknowledged data") {
     const auto tried_with = [](const auto &write, const auto &spoil) {
         fake_storage files;
         durable_log log = opened(files);
@@ -314,7 +313,8 @@
         spoil(files, name, before);
         open_failure failure;
         const bool taken = durable_log::reopen(log, failure).has_value();
-        CHECK(taken != (failure.reason.find("less than was promised") != std::string::npos));
+        CHECK(taken != (failure.reason.find("lacks data that this voter acknowledged") !=
+                        std::string::npos));
         CHECK_FALSE(failure.retryable);
         return taken;
     };
@@ -327,7 +327,7 @@
     CHECK(tried_with(append, nothing));
     CHECK_FALSE(tried_with(vote, forget));
     CHECK_FALSE(tried_with(append, forget));
-    // More than was promised is no harm: the write that failed reached the disk after all.
+    // Holding more than was acknowledged is valid: the failed write did reach the disk.
     CHECK(tried_with(append, [](fake_storage &files, const std::string &, const auto &) {
         durable_log later = opened(files);
         REQUIRE(later.append({entry(2, 3)}));
--- a/tests/state/key_hash_test.cpp
+++ b/tests/state/key_hash_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace peppertack;
 
-TEST_CASE("a fingerprint is read back as it was written") {
+TEST_CASE("a fingerprint survives formatting and parsing") {
     for (const std::uint64_t value : {std::uint64_t(0), std::uint64_t(0xab), ~std::uint64_t(0)}) {
         CHECK(parse_fingerprint(fingerprint_text(value)) == value);
     }
--- a/tests/state/log_write_test.cpp
+++ b/tests/state/log_write_test.cpp
@@ -19,7 +19,7 @@
     return std::move(*log);
 }
 
-/// Makes the next write. False if there is none.
+/// Executes the next write. Returns false if there is none.
 bool write_next(durable_log &log, fake_storage &files) {
     const std::optional<log_write> write = log.begin_write();
     if (write) {
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("a change counts at once and is promised once its write has ended") {
+TEST_CASE("a change is visible immediately and durable once its write has completed") {
     fake_storage files;
     durable_log log = opened(files);
     REQUIRE(log.append({entry(1, 1), entry(2, 1)}));
@@ -47,7 +47,7 @@
     CHECK(opened(files).vote() == vote_record{1, "a"});
 }
 
-TEST_CASE("changes that are staged during a write share the next one") {
+TEST_CASE("changes staged during a write share the next write") {
     fake_storage files;
     durable_log log = opened(files);
     REQUIRE(log.append({entry(1, 1)}));
@@ -56,7 +56,7 @@
     for (std::uint64_t index = 2; index <= 9; ++index) {
         REQUIRE(log.append({entry(index, 1)}));
     }
-    CHECK_FALSE(log.begin_write()); // one at a time
+    CHECK_FALSE(log.begin_write()); // one write at a time
     log.end_write(perform(*first, files, true));
     CHECK(log.durable_index() == 1);
     REQUIRE(write_next(log, files));
@@ -65,8 +65,8 @@
     CHECK(opened(files).last_index() == 9);
 }
 
-// Guards against acknowledging an entry by the write of another that stood in its place.
-TEST_CASE("a replaced entry is not promised by the write of the one before") {
+// Guards against acknowledging an entry because of the write of the entry that it replaced.
+TEST_CASE("the write of a replaced entry does not make its replacement durable") {
     fake_storage files;
     durable_log log = opened(files);
     REQUIRE(log.append({entry(1, 1), entry(2, 1), entry(3, 1)}));
@@ -80,7 +80,7 @@
     CHECK(opened(files).term_at(3) == 2);
 }
 
-TEST_CASE("a snapshot is written behind the entries that were staged before it") {
+TEST_CASE("a snapshot is written after the entries staged before it") {
     fake_storage files;
     durable_log log = opened(files);
     REQUIRE(log.append({entry(1, 1), entry(2, 1), entry(3, 1)}));
@@ -97,8 +97,9 @@
     CHECK(again.last_index() == 4);
 }
 
-// Guards against a voter that gives up a sound disk since it does not hold what nobody was told.
-TEST_CASE("what was staged and not written is not missed when the log is opened again") {
+// Guards against a voter that rejects an intact disk because it lacks data that was never
+// acknowledged.
+TEST_CASE("reopening tolerates the loss of staged changes that were not written") {
     fake_storage files;
     durable_log log = opened(files);
     REQUIRE(log.append({entry(1, 1)}));
@@ -117,7 +118,7 @@
     CHECK(again->durable_index() == again->last_index());
 }
 
-TEST_CASE("a promised entry is missed when the log is opened again") {
+TEST_CASE("reopening fails if a durable entry is missing") {
     fake_storage files;
     durable_log log = opened(files);
     REQUIRE(log.append({entry(1, 1)}));
--- a/tests/state/routing_delta_test.cpp
+++ b/tests/state/routing_delta_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A routing table in which each of six routes and three services is there or not, and may differ.
+/// Routing table with a random subset of six routes and three services, with random differences.
 routing_table random_routing(std::uint64_t version, std::mt19937_64 &random) {
     routing_table routing{.version = version};
     for (const std::string name : {"a", "b", "c"}) {
@@ -38,8 +38,7 @@
 
 } // namespace
 
-TEST_CASE(
-    "a difference leads from one routing table to the other, alone, joined and written down") {
+TEST_CASE("a delta leads from one routing table to the other, also when joined or encoded") {
     std::mt19937_64 random(11);
     for (int round = 0; round < 300; ++round) {
         const routing_table first = random_routing(1, random);
@@ -56,7 +55,7 @@
     }
 }
 
-TEST_CASE("what did not change is not told") {
+TEST_CASE("a delta holds no unchanged rows") {
     std::mt19937_64 random(3);
     const routing_table first = random_routing(1, random);
     routing_table second = first;
@@ -67,7 +66,7 @@
     }
 }
 
-TEST_CASE("a whole routing table written before there were differences is read") {
+TEST_CASE("a complete routing table without a base version is decoded") {
     std::string reason;
     const auto routing = decode_routing_table(
         R"({"v":1,"version":3,"routes":[],"services":[{"name":"a","keyed":true,"max_connections":0,
@@ -77,11 +76,12 @@
     REQUIRE_MESSAGE(routing, reason);
     CHECK(routing->version == 3);
     CHECK(routing->services.at("a").keyed);
-    CHECK(routing->services.at("a").delivery == hold_delivery::by_heartbeat); // the one way then
+    CHECK(routing->services.at("a").delivery ==
+          hold_delivery::by_heartbeat); // the default for older records
     CHECK(routing->limits.body_bytes == 2);
 }
 
-TEST_CASE("packed text comes back whole, and nothing else does") {
+TEST_CASE("compressed text is restored and other input is rejected") {
     std::string text;
     for (int i = 0; i < 20'000; ++i) {
         text += "row " + std::to_string(i) + ",";
--- a/tests/state/routing_table_test.cpp
+++ b/tests/state/routing_table_test.cpp
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("a routing table is read back as it was written") {
+TEST_CASE("a routing table survives encoding and decoding") {
     const routing_table routing = sample_routing(7);
     std::string reason;
     const auto read = decode_routing_table(encode(routing), reason);
@@ -49,8 +49,8 @@
     CHECK_FALSE(decode_routing_table("no json", reason));
 }
 
-// Guards against logs of earlier programs that can't be read any more.
-TEST_CASE("a change of routes keeps its form on disk") {
+// Guards against changes that make logs of earlier versions unreadable.
+TEST_CASE("the stored format of a route change is stable") {
     const std::string written =
         R"({"v":1,"wall_ms":5,"actor":"a","cause":"c","kind":"change_routes",)"
         R"("body":{"change_id":"id","base_version":3,"sheet":"text"}})";
@@ -61,7 +61,7 @@
     CHECK(encode(*read).find("\"sheet\":\"text\"") != std::string::npos);
 }
 
-TEST_CASE("each fault of a routing table is told with its place") {
+TEST_CASE("each routing table error is reported with its location") {
     struct fault {
         std::function<void(routing_table &)> make;
         const char *reason;
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_CASE("the longest prefix that begins the path takes the request") {
+TEST_CASE("the route with the longest matching path prefix is chosen") {
     routing_table routing = sample_routing(1);
     routing.routes["deep"] = sample_route("deep", "/x/y/");
     const route_index index(routing);
@@ -100,7 +100,7 @@
     CHECK(index.find("other.example", "/x/y/z") == nullptr);
 }
 
-TEST_CASE("of two changes on one version one wins, and a resend gets the first answer") {
+TEST_CASE("of two route changes on one version one wins, and a resend gets the first answer") {
     control_state state;
     CHECK(state.apply(1, change(0, sample_routing(3), "first")).error == error_kind::none);
     CHECK(state.routes().version == 3);
@@ -113,11 +113,11 @@
     const auto resent = state.apply(3, change(0, sample_routing(3), "first"));
     REQUIRE(resent.answer);
     CHECK(resent.answer->error == error_kind::none);
-    // Versions grow in uneven steps, and never fall.
+    // Versions increase, not necessarily by one.
     CHECK(state.apply(4, change(3, sample_routing(2), "older")).error ==
           error_kind::version_conflict);
     CHECK(state.apply(5, change(3, sample_routing(9), "third")).error == error_kind::none);
-    // Accepted long ago, and said so again though another version is in force by now.
+    // A resend gets the stored acceptance although a later version is in force.
     CHECK(state.apply(6, change(0, sample_routing(3), "first")).answer->error == error_kind::none);
     CHECK(state.routes().version == 9);
 }
@@ -132,10 +132,9 @@
     CHECK(read->earlier_answer("first"));
 }
 
-TEST_CASE("a target of a service without keys comes and goes without ranges") {
-    // Symptom: a snapshot could not be read after a target of a service without keys had ended.
-    // Sequence: the target registered, ended, and the state was written and read.
-    // Cause: looking its ranges up made an empty list, which a reader takes for lost ranges.
+TEST_CASE("a target of a service without keys registers and ends without ranges") {
+    // Guards against an unreadable snapshot after a target of a service without keys has ended.
+    // Looking up its ranges must not create an empty list, which the decoder takes for lost ranges.
     control_state state;
     state.apply(1, change(0, sample_routing(3), "first"));
     command arrival{.actor = "node", .cause = "test"};
--- a/tests/state/table_test.cpp
+++ b/tests/state/table_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("a table as a spreadsheet saves it") {
+TEST_CASE("a table in spreadsheet CSV is parsed") {
     const std::string csv = "\xef\xbb\xbf\"weight\",service,max_queue,failure_domain,"
                             "max_connections,max_in_flight\r\n"
                             "\r\n"
@@ -35,7 +35,7 @@
     CHECK(make_table(read->to_csv(), problems) == read);
 }
 
-TEST_CASE("every fault is named with line, column, value and range") {
+TEST_CASE("every error is reported with line, column, value and allowed range") {
     const std::vector<table_problem> problems =
         problems_of(std::string(header) + "giri,zisa,-1,14,120,200\ngi ri,zisa,1,0,x,200\n");
     REQUIRE(problems.size() == 4);
@@ -48,7 +48,7 @@
           "line 2, column weight: \"-1\" is not allowed; allowed: a number from 0 to 1000000");
 }
 
-TEST_CASE("tables that are refused") {
+TEST_CASE("invalid tables are rejected") {
     CHECK(problems_of("").size() == 1);
     CHECK(problems_of("service,failure_domain\na,b\n").size() == 4);
     CHECK(problems_of(std::string(header) + "a,b,1,1,1,1\na,b,2,1,1,1\n")[0].allowed ==
@@ -59,7 +59,7 @@
     CHECK(problems_of(std::string(header) + "\"a,b,1,1,1,1\n")[0].line == 2);
 }
 
-TEST_CASE("a problem's line counts line ends within quotes") {
+TEST_CASE("line numbers count line breaks within quotes") {
     const std::vector<table_problem> problems =
         problems_of(std::string(header) + "\"a\nb\",c,1,1,1,1\na,c,x,1,1,1\n");
     REQUIRE(problems.size() == 2);
@@ -67,7 +67,7 @@
     CHECK(problems[1].line == 4);
 }
 
-TEST_CASE("no bytes crash the reader") {
+TEST_CASE("arbitrary input does not crash the parser") {
     CHECK(rc::check("arbitrary bytes", [](const std::string &bytes) {
         std::vector<table_problem> problems;
         const bool read = make_table(bytes, problems).has_value();
