--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -534,7 +534,7 @@
                                 renew_reply &reply, moment at) {
     const crash_history &known = m_state.crashes();
     for (const crash_report &report : request.crashes) {
-        if (known.knows(report.life)) {
+        if (known.has_recorded(report.life)) {
             reply.crashes_recorded.push_back(report.life);
         } else if (m_reporting.insert(report.life).second) {
             propose(at, "node " + from, "target ended while it ran requests",
