--- a/include/peppertack/state/control_state.hpp
+++ b/include/peppertack/state/control_state.hpp
@@ -94,28 +94,28 @@
     static std::optional<control_state> decode(std::string_view text, std::string &reason);
 
 private:
-    struct note {
+    struct audit_detail {
         std::string before;
         std::string after;
         std::string subject;
     };
     using service_ranges = std::vector<range_record>;
 
-    error_kind apply_body(const change_table &, const command &, note &, applied &);
-    error_kind apply_body(const change_routes &, const command &, note &, applied &);
-    error_kind apply_body(const register_target &, const command &, note &, applied &);
-    error_kind apply_body(const expire_targets &, const command &, note &, applied &);
-    error_kind apply_body(const drain_target &, const command &, note &, applied &);
-    error_kind apply_body(const retire_target &, const command &, note &, applied &);
-    error_kind apply_body(const grant_ranges &, const command &, note &, applied &);
-    error_kind apply_body(const plan_moves &, const command &, note &, applied &);
-    error_kind apply_body(const release_range &, const command &, note &, applied &);
-    error_kind apply_body(const split_range &, const command &, note &, applied &);
-    error_kind apply_body(const merge_range &, const command &, note &, applied &);
-    error_kind apply_body(const set_standby &, const command &, note &, applied &);
-    error_kind apply_body(const restore_memory &, const command &, note &, applied &);
-    error_kind apply_body(const report_crash &, const command &, note &, applied &);
-    error_kind apply_body(const clear_suspects &, const command &, note &, applied &);
+    error_kind apply_body(const change_table &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const change_routes &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const register_target &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const expire_targets &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const drain_target &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const retire_target &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const grant_ranges &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const plan_moves &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const release_range &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const split_range &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const merge_range &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const set_standby &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const restore_memory &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const report_crash &, const command &, audit_detail &, applied &);
+    error_kind apply_body(const clear_suspects &, const command &, audit_detail &, applied &);
 
     service_ranges &ranges_of(const target_record &record);
     void end_target(target_record &record);
--- a/include/peppertack/state/durable_log.hpp
+++ b/include/peppertack/state/durable_log.hpp
@@ -150,17 +150,17 @@
     bool load(open_failure &failure);
     bool load_snapshot(open_failure &failure);
     bool load_file(const std::string &name, open_failure &failure);
-    bool take_frame(std::string_view body, std::string &reason);
-    bool take_entry(log_entry entry, std::string &reason);
+    bool load_frame(std::string_view body, std::string &reason);
+    bool load_entry(log_entry entry, std::string &reason);
     bool stage(log_write write);
     bool stage_records(std::string records);
-    void note_staged();
-    void note_durable();
+    void record_position();
+    void advance_durable();
     void truncate_positions(std::uint64_t last_index);
     log_write initial_write();
     bool write_initial(const log_write &write);
     bool holds_durable_state_of(const durable_log &earlier) const;
-    bool refused_by_disk(const std::string &what, open_failure &failure) const;
+    bool set_disk_error(const std::string &what, open_failure &failure) const;
     bool fail(const std::string &reason);
 
     storage *m_files;
--- a/include/peppertack/state/text_compression.hpp
+++ b/include/peppertack/state/text_compression.hpp
@@ -11,7 +11,7 @@
 /// Mbit/s link can send it to a hundred nodes within one second. Thread safe.
 std::string compress_text(std::string_view text);
 /// Inflates the output of `compress_text`. Returns nullopt for any other input and for text of more
-/// than `most` bytes. Thread safe.
-std::optional<std::string> decompress_text(std::string_view packed, std::size_t most);
+/// than `max_bytes` bytes. Thread safe.
+std::optional<std::string> decompress_text(std::string_view compressed, std::size_t max_bytes);
 
 } // namespace peppertack
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -121,7 +121,7 @@
     assert(index > m_version);
     m_version = index;
     applied result;
-    note written;
+    audit_detail written;
     result.error = std::visit(
         [&](const auto &body) { return apply_body(body, value, written, result); }, value.body);
     if (result.error != error_kind::none && result.error != error_kind::version_conflict) {
@@ -179,8 +179,8 @@
     m_change_feed.back().number = number;
 }
 
-error_kind control_state::apply_body(const change_table &body, const command &value, note &written,
-                                     applied &result) {
+error_kind control_state::apply_body(const change_table &body, const command &value,
+                                     audit_detail &written, applied &result) {
     if (const auto earlier = earlier_answer(body.change_id)) {
         // Resend after a lost response: returns the stored response and adds no audit record.
         result.answer = earlier;
@@ -256,8 +256,8 @@
     return found != m_routes.services.end() && found->second.keyed;
 }
 
-error_kind control_state::apply_body(const change_routes &body, const command &value, note &written,
-                                     applied &result) {
+error_kind control_state::apply_body(const change_routes &body, const command &value,
+                                     audit_detail &written, applied &result) {
     if (const auto earlier = earlier_answer(body.change_id)) {
         result.answer = earlier;
         return error_kind::cancelled;
@@ -290,8 +290,8 @@
     return answer.error;
 }
 
-error_kind control_state::apply_body(const register_target &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const register_target &body, const command &,
+                                     audit_detail &written, applied &) {
     if (!has_service(body.record.service)) {
         return error_kind::unknown_service;
     }
@@ -402,7 +402,7 @@
 }
 
 error_kind control_state::apply_body(const expire_targets &body, const command &value,
-                                     note &written, applied &) {
+                                     audit_detail &written, applied &) {
     nlohmann::json ended = nlohmann::json::array();
     std::size_t lost = 0;
     for (const target_number number : body.numbers) {
@@ -453,8 +453,8 @@
     }
 }
 
-error_kind control_state::apply_body(const drain_target &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const drain_target &body, const command &,
+                                     audit_detail &written, applied &) {
     target_record *record = live_target(body.number);
     if (record == nullptr) {
         return error_kind::not_found;
@@ -471,8 +471,8 @@
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const retire_target &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const retire_target &body, const command &,
+                                     audit_detail &written, applied &) {
     target_record *record = live_target(body.number);
     if (record == nullptr) {
         return error_kind::not_found;
@@ -489,8 +489,8 @@
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const grant_ranges &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const grant_ranges &body, const command &,
+                                     audit_detail &written, applied &) {
     std::vector<range_choice> done;
     for (const range_choice &choice : body.choices) {
         range_record *range = range_at(body.service, choice.first);
@@ -510,7 +510,7 @@
     return done.empty() ? error_kind::cancelled : error_kind::none;
 }
 
-error_kind control_state::apply_body(const plan_moves &body, const command &, note &written,
+error_kind control_state::apply_body(const plan_moves &body, const command &, audit_detail &written,
                                      applied &) {
     std::vector<range_choice> before;
     std::vector<range_choice> done;
@@ -534,8 +534,8 @@
     return done.empty() ? error_kind::cancelled : error_kind::none;
 }
 
-error_kind control_state::apply_body(const release_range &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const release_range &body, const command &,
+                                     audit_detail &written, applied &) {
     range_record *range = range_at(body.service, body.first);
     if (range == nullptr || range->token != body.token || range->owner == no_target ||
         body.to == no_target || range->next != body.to) {
@@ -557,8 +557,8 @@
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const split_range &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const split_range &body, const command &,
+                                     audit_detail &written, applied &) {
     const auto found = m_ranges.find(body.service);
     if (found == m_ranges.end()) {
         return error_kind::not_found;
@@ -577,8 +577,8 @@
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const merge_range &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const merge_range &body, const command &,
+                                     audit_detail &written, applied &) {
     const auto found = m_ranges.find(body.service);
     if (found == m_ranges.end() || body.first == 0) {
         return error_kind::not_found;
@@ -603,8 +603,8 @@
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const set_standby &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const set_standby &body, const command &,
+                                     audit_detail &written, applied &) {
     target_record *record = live_target(body.number);
     if (record == nullptr || body.standby == body.number) {
         return error_kind::not_found;
@@ -630,8 +630,8 @@
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const restore_memory &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const restore_memory &body, const command &,
+                                     audit_detail &written, applied &) {
     range_record *range = range_at(body.service, body.first);
     const bool unchanged = range != nullptr && range->token == body.token &&
                            range->owner == body.owner && range->memory == body.was;
@@ -649,8 +649,8 @@
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const report_crash &body, const command &value, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const report_crash &body, const command &value,
+                                     audit_detail &written, applied &) {
     if (m_crash_history.has_recorded(body.life)) {
         return error_kind::cancelled; // duplicate report
     }
@@ -667,8 +667,8 @@
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const clear_suspects &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const clear_suspects &body, const command &,
+                                     audit_detail &written, applied &) {
     const std::vector<suspect_request> listed = m_crash_history.listed();
     std::vector<std::uint64_t> cleared;
     for (const std::uint64_t fingerprint : body.fingerprints) {
--- a/src/state/durable_log.cpp
+++ b/src/state/durable_log.cpp
@@ -262,7 +262,7 @@
     return true;
 }
 
-bool durable_log::refused_by_disk(const std::string &what, open_failure &failure) const {
+bool durable_log::set_disk_error(const std::string &what, open_failure &failure) const {
     failure = {.reason = what + ": " + m_files->last_reason(), .retryable = true};
     return false;
 }
@@ -270,7 +270,7 @@
 bool durable_log::load(open_failure &failure) {
     const std::optional<std::vector<std::string>> names = m_files->list();
     if (!names) {
-        return refused_by_disk("can't read the data folder", failure);
+        return set_disk_error("can't read the data folder", failure);
     }
     const bool has_snapshot = std::binary_search(names->begin(), names->end(), snapshot_file);
     if (has_snapshot && !load_snapshot(failure)) {
@@ -305,7 +305,7 @@
 bool durable_log::load_snapshot(open_failure &failure) {
     const std::optional<std::string> bytes = m_files->read(snapshot_file);
     if (!bytes) {
-        return refused_by_disk(std::string("can't read ") + snapshot_file, failure);
+        return set_disk_error(std::string("can't read ") + snapshot_file, failure);
     }
     const frame whole = read_frame(*bytes);
     if (whole.state != frame_state::whole) {
@@ -331,7 +331,7 @@
 bool durable_log::load_file(const std::string &name, open_failure &failure) {
     const std::optional<std::string> bytes = m_files->read(name);
     if (!bytes) {
-        return refused_by_disk("can't read " + name, failure);
+        return set_disk_error("can't read " + name, failure);
     }
     std::size_t at = 0;
     while (at < bytes->size()) {
@@ -351,19 +351,19 @@
             break;
         }
         std::string reason;
-        if (!take_frame(next.body, reason)) {
+        if (!load_frame(next.body, reason)) {
             failure = {.reason = reason.insert(0, name + " at byte " + std::to_string(at) + ": ")};
             return false;
         }
         at += next.size;
     }
     if (at < bytes->size() && !m_files->truncate(name, at)) {
-        return refused_by_disk("can't truncate the torn tail of " + name, failure);
+        return set_disk_error("can't truncate the torn tail of " + name, failure);
     }
     return true;
 }
 
-bool durable_log::take_frame(std::string_view body, std::string &reason) {
+bool durable_log::load_frame(std::string_view body, std::string &reason) {
     reader in(body);
     while (in.ok() && !in.at_end()) {
         const auto kind = static_cast<record_kind>(in.number<std::uint8_t>());
@@ -376,7 +376,7 @@
             entry.term = in.number<std::uint64_t>();
             entry.kind = static_cast<entry_kind>(in.number<std::uint8_t>());
             entry.payload = in.text();
-            if (in.ok() && !take_entry(std::move(entry), reason)) {
+            if (in.ok() && !load_entry(std::move(entry), reason)) {
                 return false;
             }
         } else {
@@ -390,7 +390,7 @@
     return in.ok();
 }
 
-bool durable_log::take_entry(log_entry entry, std::string &reason) {
+bool durable_log::load_entry(log_entry entry, std::string &reason) {
     if (entry.index <= m_base_index) {
         // This entry replaced all entries after it, and entries that follow a different entry than
         // the snapshot's last one belong to another history. Keeping either could make the log
@@ -435,7 +435,7 @@
         return false;
     }
     m_vote = vote;
-    note_staged();
+    record_position();
     return true;
 }
 
@@ -452,7 +452,7 @@
     truncate_positions(entries.front().index - 1);
     m_entries.resize(entries.front().index - m_base_index - 1);
     m_entries.insert(m_entries.end(), entries.begin(), entries.end());
-    note_staged();
+    record_position();
     return true;
 }
 
@@ -485,7 +485,7 @@
     m_base_term = snapshot.term;
     m_snapshot = snapshot;
     m_file = file;
-    note_staged();
+    record_position();
     return true;
 }
 
@@ -550,18 +550,18 @@
         return;
     }
     m_written = m_writing_up_to;
-    note_durable();
+    advance_durable();
 }
 
-void durable_log::note_staged() {
+void durable_log::record_position() {
     m_positions.push_back({.number = m_staged,
                            .vote = m_vote,
                            .base_index = m_base_index,
                            .last_index = last_index()});
-    note_durable();
+    advance_durable();
 }
 
-void durable_log::note_durable() {
+void durable_log::advance_durable() {
     while (!m_positions.empty() && m_positions.front().number <= m_written) {
         m_durable = std::move(m_positions.front());
         m_positions.pop_front();
--- a/src/state/text_compression.cpp
+++ b/src/state/text_compression.cpp
@@ -15,24 +15,24 @@
 
 std::string compress_text(std::string_view text) {
     uLongf size = compressBound(text.size());
-    std::string packed(size, '\0');
-    const int result = compress2(reinterpret_cast<Bytef *>(packed.data()), &size,
+    std::string compressed(size, '\0');
+    const int result = compress2(reinterpret_cast<Bytef *>(compressed.data()), &size,
                                  reinterpret_cast<const Bytef *>(text.data()), text.size(), level);
-    packed.resize(result == Z_OK ? size : 0);
-    return packed;
+    compressed.resize(result == Z_OK ? size : 0);
+    return compressed;
 }
 
-std::optional<std::string> decompress_text(std::string_view packed, std::size_t most) {
+std::optional<std::string> decompress_text(std::string_view compressed, std::size_t max_bytes) {
     z_stream stream{};
     if (inflateInit(&stream) != Z_OK) {
         return std::nullopt;
     }
-    stream.next_in = reinterpret_cast<Bytef *>(const_cast<char *>(packed.data()));
-    stream.avail_in = static_cast<uInt>(packed.size());
+    stream.next_in = reinterpret_cast<Bytef *>(const_cast<char *>(compressed.data()));
+    stream.avail_in = static_cast<uInt>(compressed.size());
     std::string text;
     std::array<char, step> piece{};
     int result = Z_OK;
-    while (result == Z_OK && text.size() <= most) {
+    while (result == Z_OK && text.size() <= max_bytes) {
         stream.next_out = reinterpret_cast<Bytef *>(piece.data());
         stream.avail_out = static_cast<uInt>(piece.size());
         result = inflate(&stream, Z_NO_FLUSH);
@@ -40,7 +40,7 @@
     }
     const bool whole = result == Z_STREAM_END && stream.avail_in == 0;
     inflateEnd(&stream);
-    return whole && text.size() <= most ? std::optional(std::move(text)) : std::nullopt;
+    return whole && text.size() <= max_bytes ? std::optional(std::move(text)) : std::nullopt;
 }
 
 } // namespace peppertack
--- a/tests/state/routing_delta_test.cpp
+++ b/tests/state/routing_delta_test.cpp
@@ -86,13 +86,13 @@
     for (int i = 0; i < 20'000; ++i) {
         text += "row " + std::to_string(i) + ",";
     }
-    const std::string packed = compress_text(text);
-    CHECK(packed.size() < text.size() / 3);
-    CHECK(decompress_text(packed, text.size()) == text);
+    const std::string compressed = compress_text(text);
+    CHECK(compressed.size() < text.size() / 3);
+    CHECK(decompress_text(compressed, text.size()) == text);
     CHECK(decompress_text(compress_text(""), 10) == "");
-    CHECK_FALSE(decompress_text(packed, text.size() - 1));
-    CHECK_FALSE(decompress_text(packed.substr(0, packed.size() - 1), text.size()));
-    CHECK_FALSE(decompress_text(packed + "x", text.size()));
+    CHECK_FALSE(decompress_text(compressed, text.size() - 1));
+    CHECK_FALSE(decompress_text(compressed.substr(0, compressed.size() - 1), text.size()));
+    CHECK_FALSE(decompress_text(compressed + "x", text.size()));
     CHECK_FALSE(decompress_text("not packed", 100));
     CHECK_FALSE(decompress_text("", 100));
 }
