--- a/include/peppertack/state/audit_log.hpp
+++ b/include/peppertack/state/audit_log.hpp
@@ -59,7 +59,7 @@
 
 /// Result of verifying an audit chain.
 struct chain_report {
-    bool whole = true;
+    bool intact = true;
     std::uint64_t records = 0;
     std::vector<std::string> faults; ///< human-readable, one line each
 };
--- a/src/state/audit_log.cpp
+++ b/src/state/audit_log.cpp
@@ -57,15 +57,15 @@
         reason = files.last_reason();
         return std::nullopt;
     }
-    const std::size_t whole =
+    const std::size_t intact =
         content->rfind('\n') == std::string::npos ? 0 : content->rfind('\n') + 1;
-    if (whole < content->size() && !files.truncate(log.m_segment, whole)) {
+    if (intact < content->size() && !files.truncate(log.m_segment, intact)) {
         reason = files.last_reason();
         return std::nullopt;
     }
     const std::vector<audit_record> records = read_segment(files, log.m_segment);
     log.m_segment_size = records.size();
-    log.m_segment_bytes = whole;
+    log.m_segment_bytes = intact;
     log.m_last = records.empty() ? 0 : records.back().sequence;
     return log;
 }
@@ -141,7 +141,7 @@
     for (const audit_record &record : records) {
         std::string reason;
         if (!extend_chain(head, record, reason)) {
-            report.whole = false;
+            report.intact = false;
             report.faults.push_back(reason);
             head = {record.sequence, record.hash};
         }
--- a/src/transport/audit_report.cpp
+++ b/src/transport/audit_report.cpp
@@ -97,9 +97,9 @@
     std::ostringstream out;
     const chain_report chain = verify_chain(records);
     out << page_head << "<h1>Decisions of peppertack</h1>\n<p>" << records.size()
-        << " records. <span class=\"" << (chain.whole ? "whole" : "broken") << "\">"
-        << (chain.whole ? "Each one proves the one before it; none was changed or removed."
-                        : "The chain of records is broken:")
+        << " records. <span class=\"" << (chain.intact ? "whole" : "broken") << "\">"
+        << (chain.intact ? "Each one proves the one before it; none was changed or removed."
+                         : "The chain of records is broken:")
         << "</span></p>\n";
     for (const std::string &fault : chain.faults) {
         out << "<p class=\"broken\">" << escaped(fault) << "</p>\n";
--- a/tests/state/control_state_test.cpp
+++ b/tests/state/control_state_test.cpp
@@ -150,7 +150,7 @@
         log->append(*driven.apply(drain_target{number}).audit);
     }
     std::vector<audit_record> records = log->read_all();
-    CHECK_FALSE(verify_chain(records).whole); // registrations were not appended to this log
+    CHECK_FALSE(verify_chain(records).intact); // registrations were not appended to this log
     records.clear();
     state_driver other;
     for (int i = 0; i < 4; ++i) {
@@ -158,11 +158,11 @@
         records.push_back(
             *other.apply(change_table{id, static_cast<std::uint64_t>(i), one_service}).audit);
     }
-    CHECK(verify_chain(records).whole);
+    CHECK(verify_chain(records).intact);
     records[2].actor = "somebody else";
     CHECK(verify_chain(records).faults.size() == 1);
     records.erase(records.begin() + 1);
-    CHECK_FALSE(verify_chain(records).whole);
+    CHECK_FALSE(verify_chain(records).intact);
 }
 
 TEST_CASE("the audit log keeps records appended while the disk was full") {
@@ -190,7 +190,7 @@
     REQUIRE(again);
     const std::vector<audit_record> records = again->read_all();
     CHECK(records.size() == 5);
-    CHECK(verify_chain(records).whole);
+    CHECK(verify_chain(records).intact);
 }
 
 TEST_CASE("corrupted input does not crash the decoders of commands, states and audit records") {
--- a/tools/peppertack.cpp
+++ b/tools/peppertack.cpp
@@ -447,8 +447,8 @@
         std::cerr << "peppertack: " << fault << "\n";
     }
     std::cout << report.records << " records, "
-              << (report.whole ? "the chain is whole" : "the chain is broken") << "\n";
-    return report.whole ? exit_done : exit_refused;
+              << (report.intact ? "the chain is whole" : "the chain is broken") << "\n";
+    return report.intact ? exit_done : exit_refused;
 }
 
 int audit_report_page(const call_options &options) {
