--- a/src/state/audit_log.cpp
+++ b/src/state/audit_log.cpp
@@ -57,15 +57,15 @@
         reason = files.last_reason();
         return std::nullopt;
     }
-    const std::size_t intact =
+    const std::size_t complete_bytes =
         content->rfind('\n') == std::string::npos ? 0 : content->rfind('\n') + 1;
-    if (intact < content->size() && !files.truncate(log.m_segment, intact)) {
+    if (complete_bytes < content->size() && !files.truncate(log.m_segment, complete_bytes)) {
         reason = files.last_reason();
         return std::nullopt;
     }
     const std::vector<audit_record> records = read_segment(files, log.m_segment);
     log.m_segment_size = records.size();
-    log.m_segment_bytes = intact;
+    log.m_segment_bytes = complete_bytes;
     log.m_last = records.empty() ? 0 : records.back().sequence;
     return log;
 }
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -121,9 +121,9 @@
     assert(index > m_version);
     m_version = index;
     applied result;
-    audit_detail written;
+    audit_detail detail;
     result.error = std::visit(
-        [&](const auto &body) { return apply_body(body, value, written, result); }, value.body);
+        [&](const auto &body) { return apply_body(body, value, detail, result); }, value.body);
     if (result.error != error_kind::none && result.error != error_kind::version_conflict) {
         return result;
     }
@@ -133,9 +133,9 @@
                         .kind = kind_name(value.body),
                         .actor = value.actor,
                         .cause = value.cause,
-                        .subject = written.subject,
-                        .before = written.before,
-                        .after = written.after,
+                        .subject = detail.subject,
+                        .before = detail.before,
+                        .after = detail.after,
                         .previous_hash = m_audit.hash,
                         .hash = {}};
     record.hash = audit_hash(record);
@@ -180,7 +180,7 @@
 }
 
 error_kind control_state::apply_body(const change_table &body, const command &value,
-                                     audit_detail &written, applied &result) {
+                                     audit_detail &detail, applied &result) {
     if (const auto earlier = earlier_answer(body.change_id)) {
         // Resend after a lost response: returns the stored response and adds no audit record.
         result.answer = earlier;
@@ -191,15 +191,15 @@
                          .winner_actor = m_table_actor};
     std::vector<table_problem> problems;
     const std::optional<table> next = make_table(body.csv, problems);
-    written.subject = "table";
-    written.before = "version " + std::to_string(m_table_version);
+    detail.subject = "table";
+    detail.before = "version " + std::to_string(m_table_version);
     if (!next) {
         answer.error = error_kind::bad_table;
     } else if (body.base_version != m_table_version) {
         answer.error = error_kind::version_conflict;
-        written.after = "refused: based on version " + std::to_string(body.base_version);
+        detail.after = "refused: based on version " + std::to_string(body.base_version);
     } else {
-        written.before += "\n" + m_table.to_csv();
+        detail.before += "\n" + m_table.to_csv();
         m_table = *next;
         ++m_table_version;
         m_table_change_id = body.change_id;
@@ -207,7 +207,7 @@
         answer.version = m_table_version;
         answer.winner_change_id = body.change_id;
         answer.winner_actor = value.actor;
-        written.after = "version " + std::to_string(m_table_version) + "\n" + m_table.to_csv();
+        detail.after = "version " + std::to_string(m_table_version) + "\n" + m_table.to_csv();
         add_services();
     }
     remember_answer(body.change_id, answer);
@@ -257,7 +257,7 @@
 }
 
 error_kind control_state::apply_body(const change_routes &body, const command &value,
-                                     audit_detail &written, applied &result) {
+                                     audit_detail &detail, applied &result) {
     if (const auto earlier = earlier_answer(body.change_id)) {
         result.answer = earlier;
         return error_kind::cancelled;
@@ -266,21 +266,21 @@
     std::string reason;
     const std::optional<routing_delta> delta = decode_delta(body.delta, reason);
     std::optional<routing_table> next = delta ? peppertack::apply(m_routes, *delta) : std::nullopt;
-    written.subject = "routes";
-    written.before = "version " + std::to_string(m_routes.version);
+    detail.subject = "routes";
+    detail.before = "version " + std::to_string(m_routes.version);
     const bool conflict = delta && (!next || body.base_version != m_routes.version ||
                                     next->version <= m_routes.version);
     if (conflict) {
         answer.error = error_kind::version_conflict;
-        written.after = "refused: version " + std::to_string(delta->version) + " based on " +
-                        std::to_string(body.base_version);
+        detail.after = "refused: version " + std::to_string(delta->version) + " based on " +
+                       std::to_string(body.base_version);
     } else if (!next || check_routing_table(*next)) {
         answer.error = error_kind::bad_table;
     } else {
         m_routes = std::move(*next);
         answer.version = m_routes.version;
         answer.winner_change_id = body.change_id;
-        written.after = "version " + std::to_string(m_routes.version) + "\n" + body.delta;
+        detail.after = "version " + std::to_string(m_routes.version) + "\n" + body.delta;
         add_services();
         // Only accepted changes are stored: a change rejected by a conflict may be resent on a new
         // base version.
@@ -291,7 +291,7 @@
 }
 
 error_kind control_state::apply_body(const register_target &body, const command &,
-                                     audit_detail &written, applied &) {
+                                     audit_detail &detail, applied &) {
     if (!has_service(body.record.service)) {
         return error_kind::unknown_service;
     }
@@ -307,8 +307,8 @@
     record.standby = no_target;
     record.standby_ready = false;
     record.standby_epoch = 0;
-    written.subject = record.name;
-    written.after = dump(nlohmann::json(record));
+    detail.subject = record.name;
+    detail.after = dump(nlohmann::json(record));
     m_targets[record.number] = record;
     m_live[record.service].insert(record.number);
     record_target_change(record.number);
@@ -402,7 +402,7 @@
 }
 
 error_kind control_state::apply_body(const expire_targets &body, const command &value,
-                                     audit_detail &written, applied &) {
+                                     audit_detail &detail, applied &) {
     nlohmann::json ended = nlohmann::json::array();
     std::size_t lost = 0;
     for (const target_number number : body.numbers) {
@@ -422,10 +422,10 @@
         return error_kind::not_found;
     }
     prune_targets();
-    written.subject = ended.size() == 1 ? ended[0]["name"].get<std::string>()
-                                        : std::to_string(ended.size()) + " targets";
-    written.before = dump(ended);
-    written.after = std::to_string(lost) + " ranges without an owner";
+    detail.subject = ended.size() == 1 ? ended[0]["name"].get<std::string>()
+                                       : std::to_string(ended.size()) + " targets";
+    detail.before = dump(ended);
+    detail.after = std::to_string(lost) + " ranges without an owner";
     return error_kind::none;
 }
 
@@ -454,7 +454,7 @@
 }
 
 error_kind control_state::apply_body(const drain_target &body, const command &,
-                                     audit_detail &written, applied &) {
+                                     audit_detail &detail, applied &) {
     target_record *record = live_target(body.number);
     if (record == nullptr) {
         return error_kind::not_found;
@@ -465,14 +465,14 @@
     record->phase = target_phase::draining;
     cancel_moves_to(*record);
     record_target_change(body.number);
-    written.subject = record->name;
-    written.before = "serving";
-    written.after = "draining";
+    detail.subject = record->name;
+    detail.before = "serving";
+    detail.after = "draining";
     return error_kind::none;
 }
 
 error_kind control_state::apply_body(const retire_target &body, const command &,
-                                     audit_detail &written, applied &) {
+                                     audit_detail &detail, applied &) {
     target_record *record = live_target(body.number);
     if (record == nullptr) {
         return error_kind::not_found;
@@ -482,15 +482,15 @@
             return error_kind::cancelled;
         }
     }
-    written.subject = record->name;
-    written.before = "draining";
-    written.after = "gone";
+    detail.subject = record->name;
+    detail.before = "draining";
+    detail.after = "gone";
     end_target(*record);
     return error_kind::none;
 }
 
 error_kind control_state::apply_body(const grant_ranges &body, const command &,
-                                     audit_detail &written, applied &) {
+                                     audit_detail &detail, applied &) {
     std::vector<range_choice> done;
     for (const range_choice &choice : body.choices) {
         range_record *range = range_at(body.service, choice.first);
@@ -504,13 +504,13 @@
         record_range_change(body.service, range->first);
         done.push_back(choice);
     }
-    written.subject = body.service;
-    written.before = "no owner";
-    written.after = choices_text(done);
+    detail.subject = body.service;
+    detail.before = "no owner";
+    detail.after = choices_text(done);
     return done.empty() ? error_kind::cancelled : error_kind::none;
 }
 
-error_kind control_state::apply_body(const plan_moves &body, const command &, audit_detail &written,
+error_kind control_state::apply_body(const plan_moves &body, const command &, audit_detail &detail,
                                      applied &) {
     std::vector<range_choice> before;
     std::vector<range_choice> done;
@@ -528,21 +528,21 @@
         record_range_change(body.service, range->first);
         done.push_back(choice);
     }
-    written.subject = body.service;
-    written.before = choices_text(before);
-    written.after = choices_text(done);
+    detail.subject = body.service;
+    detail.before = choices_text(before);
+    detail.after = choices_text(done);
     return done.empty() ? error_kind::cancelled : error_kind::none;
 }
 
 error_kind control_state::apply_body(const release_range &body, const command &,
-                                     audit_detail &written, applied &) {
+                                     audit_detail &detail, applied &) {
     range_record *range = range_at(body.service, body.first);
     if (range == nullptr || range->token != body.token || range->owner == no_target ||
         body.to == no_target || range->next != body.to) {
         return error_kind::cancelled;
     }
-    written.subject = range_subject(body.service, body.first);
-    written.before = dump(nlohmann::json(*range));
+    detail.subject = range_subject(body.service, body.first);
+    detail.before = dump(nlohmann::json(*range));
     range->owner = range->next;
     range->next = no_target;
     range->token = m_version;
@@ -553,12 +553,12 @@
         range->recover_of = no_target;
     }
     record_range_change(body.service, range->first);
-    written.after = dump(nlohmann::json(*range));
+    detail.after = dump(nlohmann::json(*range));
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const split_range &body, const command &,
-                                     audit_detail &written, applied &) {
+error_kind control_state::apply_body(const split_range &body, const command &, audit_detail &detail,
+                                     applied &) {
     const auto found = m_ranges.find(body.service);
     if (found == m_ranges.end()) {
         return error_kind::not_found;
@@ -569,16 +569,16 @@
     }
     range_record upper = *place;
     upper.first = body.at;
-    written.subject = range_subject(body.service, place->first);
-    written.after = "cut at " + std::to_string(body.at);
+    detail.subject = range_subject(body.service, place->first);
+    detail.after = "cut at " + std::to_string(body.at);
     record_range_change(body.service, place->first);
     record_range_change(body.service, body.at);
     found->second.insert(std::next(place), upper);
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const merge_range &body, const command &,
-                                     audit_detail &written, applied &) {
+error_kind control_state::apply_body(const merge_range &body, const command &, audit_detail &detail,
+                                     applied &) {
     const auto found = m_ranges.find(body.service);
     if (found == m_ranges.end() || body.first == 0) {
         return error_kind::not_found;
@@ -595,16 +595,16 @@
         return error_kind::cancelled;
     }
     lower.token = std::max(lower.token, place->token);
-    written.subject = range_subject(body.service, body.first);
-    written.after = "joined to " + std::to_string(std::prev(place)->first);
+    detail.subject = range_subject(body.service, body.first);
+    detail.after = "joined to " + std::to_string(std::prev(place)->first);
     record_range_change(body.service, body.first);
     record_range_change(body.service, std::prev(place)->first);
     found->second.erase(place);
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const set_standby &body, const command &,
-                                     audit_detail &written, applied &) {
+error_kind control_state::apply_body(const set_standby &body, const command &, audit_detail &detail,
+                                     applied &) {
     target_record *record = live_target(body.number);
     if (record == nullptr || body.standby == body.number) {
         return error_kind::not_found;
@@ -620,27 +620,27 @@
     if (record->standby == body.standby && record->standby_ready == body.ready) {
         return error_kind::cancelled;
     }
-    written.subject = record->name;
-    written.before = std::to_string(record->standby) + (record->standby_ready ? " ready" : "");
+    detail.subject = record->name;
+    detail.before = std::to_string(record->standby) + (record->standby_ready ? " ready" : "");
     record->standby = body.standby;
     record->standby_ready = body.ready;
     record->standby_epoch = body.ready ? body.epoch : m_version;
-    written.after = std::to_string(record->standby) + (record->standby_ready ? " ready" : "");
+    detail.after = std::to_string(record->standby) + (record->standby_ready ? " ready" : "");
     record_target_change(body.number);
     return error_kind::none;
 }
 
 error_kind control_state::apply_body(const restore_memory &body, const command &,
-                                     audit_detail &written, applied &) {
+                                     audit_detail &detail, applied &) {
     range_record *range = range_at(body.service, body.first);
-    const bool unchanged = range != nullptr && range->token == body.token &&
-                           range->owner == body.owner && range->memory == body.was;
-    if (!unchanged || range->memory == idempotency_state::complete) {
+    const bool still_current = range != nullptr && range->token == body.token &&
+                               range->owner == body.owner && range->memory == body.was;
+    if (!still_current || range->memory == idempotency_state::complete) {
         return error_kind::cancelled;
     }
-    written.subject = range_subject(body.service, body.first);
-    written.before = dump(nlohmann::json(range->memory));
-    written.after = "complete";
+    detail.subject = range_subject(body.service, body.first);
+    detail.before = dump(nlohmann::json(range->memory));
+    detail.after = "complete";
     range->memory = idempotency_state::complete;
     range->recover_from = no_target;
     range->recover_of = no_target;
@@ -650,7 +650,7 @@
 }
 
 error_kind control_state::apply_body(const report_crash &body, const command &value,
-                                     audit_detail &written, applied &) {
+                                     audit_detail &detail, applied &) {
     if (m_crash_history.has_recorded(body.life)) {
         return error_kind::cancelled; // duplicate report
     }
@@ -660,15 +660,15 @@
     if (m_crash_history.listed() != listed) {
         m_suspects_version = m_version;
     }
-    written.subject = body.target;
-    written.before = "running: " + fingerprints_text(body.running);
-    written.after =
+    detail.subject = body.target;
+    detail.before = "running: " + fingerprints_text(body.running);
+    detail.after =
         quarantined.empty() ? "none quarantined" : "quarantined: " + fingerprints_text(quarantined);
     return error_kind::none;
 }
 
 error_kind control_state::apply_body(const clear_suspects &body, const command &,
-                                     audit_detail &written, applied &) {
+                                     audit_detail &detail, applied &) {
     const std::vector<suspect_request> listed = m_crash_history.listed();
     std::vector<std::uint64_t> cleared;
     for (const std::uint64_t fingerprint : body.fingerprints) {
@@ -681,9 +681,9 @@
     if (m_crash_history.listed() != listed) {
         m_suspects_version = m_version;
     }
-    written.subject = "suspect requests";
-    written.before = fingerprints_text(cleared);
-    written.after = body.probation ? "on probation" : "cleared";
+    detail.subject = "suspect requests";
+    detail.before = fingerprints_text(cleared);
+    detail.after = body.probation ? "on probation" : "cleared";
     return cleared.empty() ? error_kind::cancelled : error_kind::none;
 }
 
--- a/src/state/durable_log.cpp
+++ b/src/state/durable_log.cpp
@@ -89,7 +89,7 @@
     return frame;
 }
 
-enum class frame_state { whole, torn, damaged, unsupported_version };
+enum class frame_state { valid, torn, damaged, unsupported_version };
 
 struct frame {
     frame_state state = frame_state::torn;
@@ -118,15 +118,15 @@
     if (version != frame_version) {
         return {.state = frame_state::unsupported_version};
     }
-    return {.state = frame_state::whole, .body = body, .size = header_size + size};
+    return {.state = frame_state::valid, .body = body, .size = header_size + size};
 }
 
 /// Whether a valid frame follows an invalid one. Only the last write can be torn, so a valid frame
 /// after an invalid one means that synced data was damaged.
-bool whole_frame_follows(std::string_view bytes) {
+bool valid_frame_follows(std::string_view bytes) {
     for (std::size_t at = bytes.find(frame_mark, 1); at != std::string_view::npos;
          at = bytes.find(frame_mark, at + 1)) {
-        if (read_frame(bytes.substr(at)).state == frame_state::whole) {
+        if (read_frame(bytes.substr(at)).state == frame_state::valid) {
             return true;
         }
     }
@@ -307,12 +307,12 @@
     if (!bytes) {
         return set_disk_error(std::string("can't read ") + snapshot_file, failure);
     }
-    const frame whole = read_frame(*bytes);
-    if (whole.state != frame_state::whole) {
+    const frame valid = read_frame(*bytes);
+    if (valid.state != frame_state::valid) {
         failure = {.reason = "the snapshot file is damaged; replace this voter by a new one"};
         return false;
     }
-    reader in(whole.body);
+    reader in(valid.body);
     log_snapshot snapshot;
     snapshot.index = in.number<std::uint64_t>();
     snapshot.term = in.number<std::uint64_t>();
@@ -342,8 +342,8 @@
                                  ": frame version not supported"};
             return false;
         }
-        if (next.state != frame_state::whole) {
-            if (whole_frame_follows(rest)) {
+        if (next.state != frame_state::valid) {
+            if (valid_frame_follows(rest)) {
                 failure = {.reason = name + " is damaged at byte " + std::to_string(at) +
                                      " before its end; replace this voter by a new one"};
                 return false;
@@ -460,9 +460,9 @@
     if (m_failed || snapshot.index <= m_base_index) {
         return !m_failed;
     }
-    const bool keeps_tail = term_at(snapshot.index) == snapshot.term;
+    const bool retains_tail = term_at(snapshot.index) == snapshot.term;
     std::deque<log_entry> kept;
-    if (keeps_tail) {
+    if (retains_tail) {
         const auto covered = static_cast<std::ptrdiff_t>(snapshot.index - m_base_index);
         kept.assign(m_entries.begin() + covered, m_entries.end());
     }
@@ -477,7 +477,7 @@
     if (!stage(std::move(write))) {
         return false;
     }
-    if (!keeps_tail) {
+    if (!retains_tail) {
         truncate_positions(m_base_index);
     }
     m_entries = std::move(kept);
