--- a/include/peppertack/state/control_state.hpp
+++ b/include/peppertack/state/control_state.hpp
@@ -88,9 +88,9 @@
     /// Stored response to the change with this id, if it is still retained.
     std::optional<change_answer> earlier_answer(const std::string &change_id) const;
 
-    /// JSON text of the whole state, for snapshots. The feed of touched items is not part of it.
+    /// Encodes the complete state as JSON for snapshots. The change feed is not included.
     std::string encode() const;
-    /// Reads what `encode` wrote. Yields nothing, with the reason, for anything else.
+    /// Decodes the output of `encode`. Returns nullopt and sets `reason` for any other input.
     static std::optional<control_state> decode(std::string_view text, std::string &reason);
 
 private:
--- a/include/peppertack/state/crash_history.hpp
+++ b/include/peppertack/state/crash_history.hpp
@@ -18,8 +18,8 @@
 
 /// Crash record of one request.
 struct suspect_record {
-    std::vector<std::uint64_t>
-        crashed_incarnations; ///< target incarnations that crashed while running it
+    /// Target incarnations that crashed while running the request.
+    std::vector<std::uint64_t> crashed_incarnations;
     std::int64_t seen_ms = 0; ///< wall-clock time of the latest of these crashes
     bool quarantined = false;
 
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -32,8 +32,8 @@
 namespace {
 
 constexpr int state_version = 1;
-constexpr std::size_t max_remembered_answers =
-    50'000; ///< about three days at 17,000 changes per day
+/// About three days at 17,000 changes per day.
+constexpr std::size_t max_remembered_answers = 50'000;
 constexpr std::size_t max_change_feed_items = 250'000;
 constexpr std::size_t max_ended_targets = 1'000;
 constexpr unsigned initial_range_bits = 6; ///< 64 ranges: about 16 per target for small services
--- a/src/state/posix_storage.cpp
+++ b/src/state/posix_storage.cpp
@@ -15,8 +15,7 @@
 
 constexpr const char *lock_file = "lock";
 constexpr int file_mode = 0640;
-constexpr std::size_t read_block =
-    64U << 10U; ///< bytes; keeps the number of calls low for logs of some megabytes
+constexpr std::size_t read_block = 64U << 10U; ///< bytes; few calls for logs of some megabytes
 /// Suffix of the temporary file to which a replacement is written.
 constexpr std::string_view temporary_suffix = ".new";
 
