--- a/include/peppertack/coordination/durable_voter.hpp
+++ b/include/peppertack/coordination/durable_voter.hpp
@@ -27,20 +27,20 @@
         durable_log::options log;
         /// From the loss of the disk to the first try, and then doubled from try to try: each reads
         /// the whole log.
-        duration first_pause = std::chrono::milliseconds(100);
+        duration initial_retry_delay = std::chrono::milliseconds(100);
         /// Well below the time that a voter is given to catch up, which is some seconds.
-        duration longest_pause = std::chrono::seconds(1);
+        duration max_retry_delay = std::chrono::seconds(1);
         /// The pauses begin small again after so long without a loss. A disk that takes the log and
         /// refuses what follows would be tried ten times a second.
-        duration calm_time = std::chrono::seconds(10);
+        duration retry_delay_reset_time = std::chrono::seconds(10);
     };
 
     /// What a look at the disk found.
-    enum class disk_news : std::uint8_t {
+    enum class disk_event : std::uint8_t {
         none,
-        lost,    ///< it refused a write
-        back,    ///< it takes writes again, and a fresh part has begun
-        damaged, ///< what it holds can't be used: this voter stays silent
+        failed,    ///< it refused a write
+        recovered, ///< it takes writes again, and a fresh part has begun
+        damaged,   ///< what it holds can't be used: this voter stays silent
     };
 
     /// A call to the disk. `run` blocks for as long as the disk takes; it may be called on any
@@ -48,7 +48,7 @@
     /// the control thread and is called once `run` has returned.
     struct disk_task {
         std::function<void()> run;
-        std::function<disk_news(moment)> finish;
+        std::function<disk_event(moment)> finish;
     };
 
     /// Opens the log. Yields nothing, with the reason, if it can't be used. Precondition: `files`
@@ -57,7 +57,7 @@
                                                control_core::audit_sink audit, moment at,
                                                std::string &reason);
 
-    /// Valid until `tend_disk` yields `back`.
+    /// Valid until `check_disk` yields `recovered`.
     control_core &core() { return *m_core; }
     const control_core &core() const { return *m_core; }
     const durable_log &log() const { return *m_log; }
@@ -67,23 +67,26 @@
     std::optional<disk_task> take_disk_task();
 
     /// Looks after the disk; called after each tick of the part, once its messages and answers were
-    /// taken. All that waited for the old part has been answered when it yields `back`.
-    disk_news tend_disk(moment at);
+    /// taken. All that waited for the old part has been answered when it yields `recovered`.
+    disk_event check_disk(moment at);
     /// Why the disk was lost or could not be used at the last try.
     const std::string &last_reason() const { return m_reason; }
     /// From the last loss of the disk to `at`, and the tries since.
-    duration away(moment at) const { return m_lost_at ? at.now - *m_lost_at : duration{}; }
-    unsigned int tries() const { return m_tries; }
+    duration outage_duration(moment at) const {
+        return m_lost_at ? at.now - *m_lost_at : duration{};
+    }
+    unsigned int reopen_attempts() const { return m_tries; }
 
 private:
     durable_voter(options settings, storage &files, control_core::audit_sink audit)
         : m_options(std::move(settings)), m_files(&files), m_audit(std::move(audit)),
-          m_pause(m_options.first_pause) {}
+          m_pause(m_options.initial_retry_delay) {}
 
     void note_loss(moment at);
-    disk_news try_again(moment at);
+    disk_event try_again(moment at);
     disk_task reopening();
-    disk_news take_reopened(std::optional<durable_log> log, const open_failure &failure, moment at);
+    disk_event take_reopened(std::optional<durable_log> log, const open_failure &failure,
+                             moment at);
     bool begin(durable_log log, moment at);
 
     options m_options;
--- a/src/coordination/durable_voter.cpp
+++ b/src/coordination/durable_voter.cpp
@@ -33,18 +33,18 @@
     return true;
 }
 
-durable_voter::disk_news durable_voter::tend_disk(moment at) {
+durable_voter::disk_event durable_voter::check_disk(moment at) {
     if (!m_log->failed() || m_damaged) {
-        return disk_news::none;
+        return disk_event::none;
     }
     if (!m_away) {
         note_loss(at);
-        return disk_news::lost;
+        return disk_event::failed;
     }
     if (m_reopen_due) {
-        return disk_news::none;
+        return disk_event::none;
     }
-    return at.now < m_try_at ? disk_news::none : try_again(at);
+    return at.now < m_try_at ? disk_event::none : try_again(at);
 }
 
 std::optional<durable_voter::disk_task> durable_voter::take_disk_task() {
@@ -70,7 +70,7 @@
                              m_disk_busy = false;
                              m_log->note_written(*outcome);
                              m_core->note_written(at);
-                             return disk_news::none;
+                             return disk_event::none;
                          }};
 }
 
@@ -92,8 +92,8 @@
 }
 
 void durable_voter::note_loss(moment at) {
-    if (m_back_at + m_options.calm_time <= at.now) {
-        m_pause = m_options.first_pause;
+    if (m_back_at + m_options.retry_delay_reset_time <= at.now) {
+        m_pause = m_options.initial_retry_delay;
     }
     m_away = true;
     m_lost_at = at.now;
@@ -102,30 +102,30 @@
     m_reason = m_log->last_reason();
 }
 
-durable_voter::disk_news durable_voter::try_again(moment at) {
+durable_voter::disk_event durable_voter::try_again(moment at) {
     ++m_tries;
-    m_pause = std::min(m_pause * 2, m_options.longest_pause);
+    m_pause = std::min(m_pause * 2, m_options.max_retry_delay);
     m_try_at = at.now + m_pause;
     if (m_options.log.write_behind) {
         m_reopen_due = true;
-        return disk_news::none;
+        return disk_event::none;
     }
     open_failure failure;
     std::optional<durable_log> log = durable_log::reopen(*m_log, failure);
     return take_reopened(std::move(log), failure, at);
 }
 
-durable_voter::disk_news durable_voter::take_reopened(std::optional<durable_log> log,
-                                                      const open_failure &failure, moment at) {
+durable_voter::disk_event durable_voter::take_reopened(std::optional<durable_log> log,
+                                                       const open_failure &failure, moment at) {
     if (log && begin(std::move(*log), at)) {
         m_away = false;
-        return disk_news::back;
+        return disk_event::recovered;
     }
     if (!log) {
         m_reason = failure.reason;
     }
     m_damaged = log || !failure.may_pass;
-    return m_damaged ? disk_news::damaged : disk_news::none;
+    return m_damaged ? disk_event::damaged : disk_event::none;
 }
 
 } // namespace peppertack
--- a/src/transport/control_host.cpp
+++ b/src/transport/control_host.cpp
@@ -284,20 +284,20 @@
 
     void tend_disk() {
         const moment at = read_clocks();
-        tell_disk_news(m_voter->tend_disk(at), at);
+        tell_disk_news(m_voter->check_disk(at), at);
         start_disk_task();
     }
 
-    void tell_disk_news(durable_voter::disk_news news, moment at) {
+    void tell_disk_news(durable_voter::disk_event news, moment at) {
         switch (news) {
-        case durable_voter::disk_news::none: break;
-        case durable_voter::disk_news::lost:
-        case durable_voter::disk_news::damaged: tell_role(m_voter->last_reason()); break;
-        case durable_voter::disk_news::back:
+        case durable_voter::disk_event::none: break;
+        case durable_voter::disk_event::failed:
+        case durable_voter::disk_event::damaged: tell_role(m_voter->last_reason()); break;
+        case durable_voter::disk_event::recovered:
             give_up_waiting();
             tell_role("the disk takes writes again, after " +
-                      std::to_string(m_voter->away(at) / std::chrono::milliseconds(1)) +
-                      " ms and " + std::to_string(m_voter->tries()) + " tries");
+                      std::to_string(m_voter->outage_duration(at) / std::chrono::milliseconds(1)) +
+                      " ms and " + std::to_string(m_voter->reopen_attempts()) + " tries");
             break;
         }
     }
--- a/tests/coordination/durable_voter_test.cpp
+++ b/tests/coordination/durable_voter_test.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr duration tick_interval = 10ms;
-using news = durable_voter::disk_news;
+using news = durable_voter::disk_event;
 
 /// A voter over a fake disk, with what the thread around it would do.
 struct voter_fixture {
@@ -34,7 +34,7 @@
             for (const outgoing &item : voter->core().take_outgoing()) {
                 offers += std::holds_alternative<join_request>(item.body) ? 1 : 0;
             }
-            const news found = voter->tend_disk({now, 0});
+            const news found = voter->check_disk({now, 0});
             if (found != news::none) {
                 heard.push_back(found);
             }
@@ -81,11 +81,11 @@
     CHECK(alone.answers[1].error == error_kind::not_leader);
     CHECK_FALSE(alone.answers[1].certain);
     CHECK(alone.answers[2].error == error_kind::not_leader);
-    CHECK(alone.heard == std::vector<news>{news::lost});
+    CHECK(alone.heard == std::vector<news>{news::failed});
     alone.disk.set_fault(fake_storage::fault::none);
     alone.run(4s);
     CHECK(alone.answers.size() == 3);
-    CHECK(alone.heard == std::vector<news>{news::lost, news::back});
+    CHECK(alone.heard == std::vector<news>{news::failed, news::recovered});
     REQUIRE(alone.voter->core().established());
     CHECK(alone.voter->core().state().table_change_id() == "kept");
     alone.submit("after");
@@ -101,12 +101,12 @@
     alone.submit("lost");
     alone.run(60s);
     CHECK(alone.role() == replica::role::failed);
-    CHECK(alone.voter->tries() > 55);
-    CHECK(alone.voter->tries() < 66);
+    CHECK(alone.voter->reopen_attempts() > 55);
+    CHECK(alone.voter->reopen_attempts() < 66);
     CHECK(alone.voter->last_reason().find("disk") != std::string::npos);
     alone.disk.set_fault(fake_storage::fault::none);
     alone.run(1100ms);
-    CHECK(alone.heard == std::vector<news>{news::lost, news::back});
+    CHECK(alone.heard == std::vector<news>{news::failed, news::recovered});
 }
 
 TEST_CASE("a disk that fails again right after each success is not tried ever faster") {
@@ -155,7 +155,7 @@
     alone.disk.bytes_of(name)[60] ^= 1;
     alone.disk.set_fault(fake_storage::fault::none);
     alone.run(5s);
-    CHECK(alone.heard == std::vector<news>{news::lost, news::damaged});
+    CHECK(alone.heard == std::vector<news>{news::failed, news::damaged});
     CHECK(alone.role() == replica::role::failed);
     CHECK(alone.voter->last_reason().find("damaged") != std::string::npos);
 }
@@ -177,7 +177,7 @@
     REQUIRE(one.role() == replica::role::failed);
     one.disk.set_fault(fake_storage::fault::none);
     one.run(tick_interval * 15);
-    REQUIRE(one.heard == std::vector<news>{news::lost, news::back});
+    REQUIRE(one.heard == std::vector<news>{news::failed, news::recovered});
     CHECK_FALSE(vote_for("c:1", 7));
     CHECK(vote_for("b:1", one.voter->core().replication().term() + 1));
 }
--- a/tests/coordination/world.cpp
+++ b/tests/coordination/world.cpp
@@ -132,7 +132,7 @@
 /// What a disk held that was only broken for a while must serve again.
 void world::tend_disk(std::size_t index) {
     host &item = *m_hosts[index];
-    take_disk_news(index, item.voting->tend_disk(clock_of(item)));
+    take_disk_news(index, item.voting->check_disk(clock_of(item)));
     start_disk_task(index);
 }
 
@@ -159,13 +159,13 @@
     });
 }
 
-void world::take_disk_news(std::size_t index, durable_voter::disk_news news) {
+void world::take_disk_news(std::size_t index, durable_voter::disk_event news) {
     host &item = *m_hosts[index];
     switch (news) {
-    case durable_voter::disk_news::none:
-    case durable_voter::disk_news::lost: break;
-    case durable_voter::disk_news::back: item.changes.clear(); break;
-    case durable_voter::disk_news::damaged:
+    case durable_voter::disk_event::none:
+    case durable_voter::disk_event::failed: break;
+    case durable_voter::disk_event::recovered: item.changes.clear(); break;
+    case durable_voter::disk_event::damaged:
         violate("a voter gives up its disk: " + item.voting->last_reason());
         break;
     }
--- a/tests/coordination/world.hpp
+++ b/tests/coordination/world.hpp
@@ -160,7 +160,7 @@
     void announce(std::size_t index);
     void tend_disk(std::size_t index);
     void start_disk_task(std::size_t index);
-    void take_disk_news(std::size_t index, durable_voter::disk_news news);
+    void take_disk_news(std::size_t index, durable_voter::disk_event news);
     void note_decision(const audit_record &record);
     void carry_out(std::size_t index);
     void send(std::size_t from, const outgoing &item);
