--- a/include/peppertack/coordination/replica.hpp
+++ b/include/peppertack/coordination/replica.hpp
@@ -79,23 +79,23 @@
     /// there is none, it is not yet recorded, or this replica does not lead.
     bool cancel_change();
 
-    /// Asks for proof of leadership: the yielded round is confirmed when `confirmed_round()` has
-    /// reached it. A confirmed round shows that no other leader had been elected when it began.
+    /// Asks for proof of leadership: the yielded round is confirmed when `last_confirmed_round()`
+    /// has reached it. A confirmed round shows that no other leader had been elected when it began.
     std::uint64_t request_round();
-    std::uint64_t confirmed_round() const { return m_confirmed_round; }
+    std::uint64_t last_confirmed_round() const { return m_confirmed_round; }
 
     std::vector<outgoing> take_outgoing();
     /// Entries that became committed since the last call, in order.
     std::vector<log_entry> take_committed();
     /// A snapshot received from the leader that the state machine has to load before any further
     /// committed entries.
-    std::optional<log_snapshot> take_installed();
+    std::optional<log_snapshot> take_installed_snapshot();
     /// Stores the state machine's snapshot at `index` and drops the entries it covers.
     /// Precondition: `index` was handed out by `take_committed`.
     bool compact(std::uint64_t index, std::string state);
 
     /// How long `voter` has not been heard of by this leader; zero for this replica itself.
-    duration silence_of(const node_address &voter, instant now) const;
+    duration time_since_contact(const node_address &voter, instant now) const;
     /// Whether this replica counts for elections and commits, as far as it knows.
     bool is_voter() const { return m_members.voters.count(m_options.self) != 0; }
     role current_role() const { return m_role; }
--- a/include/peppertack/coordination/routing_history.hpp
+++ b/include/peppertack/coordination/routing_history.hpp
@@ -13,7 +13,7 @@
 class routing_history {
 public:
     /// A change was accepted: `delta` as `encode` wrote it.
-    void note(const std::string &delta);
+    void record(const std::string &delta);
     /// What leads a node from the routing table of `version` to `current`, packed; the whole of it
     /// if the node's is older than what is remembered. Many nodes ask for the same right after a
     /// change.
--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -74,19 +74,19 @@
 
 /// One change of membership at a time, as the roster advises.
 void control_core::follow_roster(moment at) {
-    m_roster.note_leader(at.now);
+    m_roster.defer_offer(at.now);
     const auto silent = [&](const node_address &voter) {
-        return m_replica->silence_of(voter, at.now);
+        return m_replica->time_since_contact(voter, at.now);
     };
     const auto &learner = m_replica->members().learner;
-    if (learner && m_options.roster.wanted != 0 &&
-        silent(*learner) > m_options.roster.voter_patience) {
+    if (learner && m_options.roster.desired_voters != 0 &&
+        silent(*learner) > m_options.roster.voter_timeout) {
         m_replica->cancel_change();
     }
     const auto advice =
-        m_roster.advise(m_replica->members(), m_options.replication.self, silent, at.now);
+        m_roster.next_change(m_replica->members(), m_options.replication.self, silent, at.now);
     if (advice && m_replica->replace_voter(advice->learner, advice->replaces)) {
-        m_roster.forget(advice->learner);
+        m_roster.remove_offer(advice->learner);
     }
 }
 
@@ -94,7 +94,7 @@
 /// away. It cannot tell, so it offers itself; a leader that counts it already ignores that.
 void control_core::offer_to_join(moment at) {
     if (!m_replica->leader().empty() && m_replica->is_voter()) {
-        m_roster.note_leader(at.now);
+        m_roster.defer_offer(at.now);
         return;
     }
     // Taken in, a voter that can't store anything would hold the place of a sound spare.
@@ -114,12 +114,12 @@
 
 void control_core::announce_leaving(moment at) {
     const join_request request{.identity = m_options.replication.self, .leaving = true};
-    m_roster.note(request, at.now);
+    m_roster.record(request, at.now);
     send_to_contacts(request);
 }
 
 void control_core::take_join(const join_request &request, moment at) {
-    m_roster.note(request, at.now);
+    m_roster.record(request, at.now);
     const node_address &leader = m_replica->leader();
     if (!m_established && !leader.empty() && leader != m_options.replication.self &&
         leader != request.identity) {
@@ -128,7 +128,7 @@
 }
 
 bool control_core::enough_voters() const {
-    return m_replica->members().voters.size() >= m_options.roster.wanted;
+    return m_replica->members().voters.size() >= m_options.roster.desired_voters;
 }
 
 std::uint64_t control_core::prove_leadership(moment at) {
@@ -143,7 +143,7 @@
 }
 
 void control_core::answer_proofs() {
-    while (!m_proofs.empty() && m_proofs.front().first <= m_replica->confirmed_round()) {
+    while (!m_proofs.empty() && m_proofs.front().first <= m_replica->last_confirmed_round()) {
         m_answers.push_back({.ticket = m_proofs.front().second, .version = m_state.version()});
         m_proofs.pop_front();
     }
@@ -241,7 +241,7 @@
 // ---- the replicated state ----
 
 void control_core::apply_committed() {
-    if (const std::optional<log_snapshot> installed = m_replica->take_installed()) {
+    if (const std::optional<log_snapshot> installed = m_replica->take_installed_snapshot()) {
         std::string reason;
         if (std::optional<control_state> state = control_state::decode(installed->state, reason)) {
             m_state = std::move(*state);
@@ -274,7 +274,7 @@
     if (value && result.error == error_kind::none) {
         count_owner_changes(*value);
         if (const auto *body = std::get_if<change_routes>(&value->body)) {
-            m_routes.note(body->delta);
+            m_routes.record(body->delta);
         }
     }
     if (value) {
@@ -390,7 +390,7 @@
 // ---- leases ----
 
 void control_core::answer_renewals(moment at) {
-    const std::uint64_t confirmed = m_replica->confirmed_round();
+    const std::uint64_t confirmed = m_replica->last_confirmed_round();
     while (!m_renewals.empty() && m_renewals.front().round <= confirmed) {
         const waiting_renewal waiting = std::move(m_renewals.front());
         m_renewals.pop_front();
--- a/src/coordination/replica.cpp
+++ b/src/coordination/replica.cpp
@@ -238,7 +238,7 @@
     return m_round;
 }
 
-duration replica::silence_of(const node_address &voter, instant now) const {
+duration replica::time_since_contact(const node_address &voter, instant now) const {
     const auto found = m_progress.find(voter);
     return voter == m_options.self || found == m_progress.end() ? duration{}
                                                                 : now - found->second.heard;
@@ -258,7 +258,7 @@
     return entries;
 }
 
-std::optional<log_snapshot> replica::take_installed() {
+std::optional<log_snapshot> replica::take_installed_snapshot() {
     return std::exchange(m_installed, std::nullopt);
 }
 
--- a/src/coordination/routing_history.cpp
+++ b/src/coordination/routing_history.cpp
@@ -15,7 +15,7 @@
 
 } // namespace
 
-void routing_history::note(const std::string &delta) {
+void routing_history::record(const std::string &delta) {
     std::string reason;
     std::optional<routing_delta> read = decode_delta(delta, reason);
     const bool follows = read && !m_deltas.empty() && m_deltas.back().version == read->base_version;
--- a/src/coordination/voter_roster.cpp
+++ b/src/coordination/voter_roster.cpp
@@ -12,10 +12,10 @@
 } // namespace
 
 node_address address_of(const node_address &identity) {
-    return identity.substr(0, identity.find(identity_mark));
+    return identity.substr(0, identity.find(identity_separator));
 }
 
-void voter_roster::note(const join_request &request, instant now) {
+void voter_roster::record(const join_request &request, instant now) {
     if (request.leaving) {
         m_leaving[request.identity] = now;
         m_offers.erase(request.identity);
@@ -34,14 +34,15 @@
     return std::nullopt;
 }
 
-std::optional<voter_roster::change> voter_roster::advise(const membership &members,
-                                                         const node_address &self,
-                                                         const silence &silent_for, instant now) {
+std::optional<voter_roster::change> voter_roster::next_change(const membership &members,
+                                                              const node_address &self,
+                                                              const silence &silent_for,
+                                                              instant now) {
     std::erase_if(m_offers,
-                  [&](const auto &offer) { return offer.second + m_options.offer_lifetime < now; });
+                  [&](const auto &offer) { return offer.second + m_options.offer_ttl < now; });
     std::erase_if(m_leaving,
                   [&](const auto &item) { return item.second + leaving_lifetime < now; });
-    if (m_options.wanted == 0 || members.learner || m_offers.empty()) {
+    if (m_options.desired_voters == 0 || members.learner || m_offers.empty()) {
         return std::nullopt;
     }
     for (const auto &[identity, heard] : m_offers) {
@@ -59,11 +60,11 @@
     if (!newcomer) {
         return std::nullopt;
     }
-    if (members.voters.size() < m_options.wanted) {
+    if (members.voters.size() < m_options.desired_voters) {
         return change{*newcomer, std::nullopt};
     }
     for (const node_address &voter : members.voters) {
-        if (m_leaving.count(voter) != 0 || silent_for(voter) > m_options.voter_patience) {
+        if (m_leaving.count(voter) != 0 || silent_for(voter) > m_options.voter_timeout) {
             return change{*newcomer, voter};
         }
     }
@@ -71,7 +72,7 @@
 }
 
 bool voter_roster::offer_due(instant now) {
-    if (m_options.wanted == 0 || now < m_offer_at) {
+    if (m_options.desired_voters == 0 || now < m_offer_at) {
         return false;
     }
     m_offer_at = now + m_options.offer_interval;
--- a/src/transport/daemon_settings.cpp
+++ b/src/transport/daemon_settings.cpp
@@ -265,7 +265,7 @@
     if (settings.losses == 0) {
         options.replication.initial.voters = {settings.voters.begin(), settings.voters.end()};
     } else {
-        options.roster.wanted = 2 * static_cast<std::size_t>(settings.losses) + 1;
+        options.roster.desired_voters = 2 * static_cast<std::size_t>(settings.losses) + 1;
         options.roster.contacts = settings.voters;
         options.balance_interval = std::chrono::milliseconds(500);
         options.placement.moves_at_a_time = 6;
--- a/src/transport/peer_hub.cpp
+++ b/src/transport/peer_hub.cpp
@@ -340,7 +340,7 @@
         // The process that had this identity lost its disk, and this one has come up in its place:
         // what is meant for the other must not be taken by this one.
         // A bare address names no disk, and may be that of a relay on the way.
-        const bool names_disk = greeting.to.find(identity_mark) != node_address::npos;
+        const bool names_disk = greeting.to.find(identity_separator) != node_address::npos;
         if (names_disk && greeting.to != m_hub->m_options.self) {
             log_event(log_level::info, "peer_meant_another",
                       {{"peer", greeting.address}, {"meant", greeting.to}});
--- a/src/transport/voter_identity.cpp
+++ b/src/transport/voter_identity.cpp
@@ -17,7 +17,7 @@
 constexpr const char *founder_number = "founder";
 
 node_address founder_name(const node_address &address) {
-    return address + identity_mark + founder_number;
+    return address + identity_separator + founder_number;
 }
 
 voter_identity make_identity(const daemon_settings &settings) {
@@ -26,7 +26,8 @@
                                                         settings.peer_address) != seeds.end();
     voter_identity identity;
     if (!founder) {
-        identity.name = settings.peer_address + identity_mark + std::to_string(random_number());
+        identity.name =
+            settings.peer_address + identity_separator + std::to_string(random_number());
         return identity;
     }
     identity.name = founder_name(settings.peer_address);
--- a/tests/coordination/durable_voter_test.cpp
+++ b/tests/coordination/durable_voter_test.cpp
@@ -18,7 +18,7 @@
         durable_voter::options settings;
         settings.control.replication.self = "a:1";
         settings.control.replication.initial.voters = std::move(voters);
-        settings.control.roster.wanted = 3;
+        settings.control.roster.desired_voters = 3;
         std::string reason;
         voter = durable_voter::make(
             settings, disk, [](const audit_record &) { return true; }, {now, 0}, reason);
--- a/tests/coordination/fake_storage.hpp
+++ b/tests/coordination/fake_storage.hpp
@@ -90,7 +90,7 @@
         m_fault = fault::none;
     }
     void set_fault(fault value) { m_fault = value; }
-    fault fault_set() const { return m_fault; }
+    fault current_fault() const { return m_fault; }
     std::string &bytes_of(const std::string &name) { return m_files.at(name).bytes; }
 
 private:
--- a/tests/coordination/routing_history_test.cpp
+++ b/tests/coordination/routing_history_test.cpp
@@ -37,7 +37,7 @@
     std::vector<routing_table> routings{{}};
     for (std::uint64_t i = 1; i <= 50; ++i) {
         routings.push_back(routing_of(i, 300 + i));
-        history.note(encode(difference(routings[i - 1], routings[i])));
+        history.record(encode(difference(routings[i - 1], routings[i])));
     }
     const routing_table &current = routings.back();
     for (const routing_table &held : routings) {
@@ -53,10 +53,10 @@
     routing_history history;
     const routing_table current = routing_of(9, 5);
     CHECK(follow(routing_of(4, 2), history.packed_since(4, current)) == current);
-    history.note(encode(difference(routing_of(4, 2), routing_of(5, 2))));
-    history.note(encode(difference(routing_of(7, 2), current)));
+    history.record(encode(difference(routing_of(4, 2), routing_of(5, 2))));
+    history.record(encode(difference(routing_of(7, 2), current)));
     CHECK(follow(routing_of(4, 2), history.packed_since(4, current)) == current);
-    history.note("no delta");
+    history.record("no delta");
     CHECK(follow(routing_of(7, 2), history.packed_since(7, current)) == current);
 }
 
--- a/tests/coordination/world.cpp
+++ b/tests/coordination/world.cpp
@@ -100,7 +100,7 @@
             clock_of(item), reason);
         if (!item.voting) {
             // With a broken disk it rightly refuses to start; else it lost what it had promised.
-            const bool refused = item.disk->fault_set() != fake_storage::fault::none &&
+            const bool refused = item.disk->current_fault() != fake_storage::fault::none &&
                                  reason.find(item.disk->last_reason()) != std::string::npos;
             if (!refused) {
                 violate("a voter can't open its log: " + reason);
