--- a/src/coordination/replica.cpp
+++ b/src/coordination/replica.cpp
@@ -11,22 +11,22 @@
 
 namespace {
 
-/// Above the pause between two ticks, which follows a write in any case, and well below the least
-/// election timeout: a faster write can't be mistaken for another voter's silence.
-constexpr duration least_slow_write = std::chrono::milliseconds(30);
-/// A leader that writes sends nothing meanwhile, and its next message comes a heartbeat later at
-/// most: twice the time of a write leaves room for both.
-constexpr int writes_to_wait_for = 2;
-/// Each write leaves that much of what slower ones before it count for: eight fast writes take away
-/// nine tenths of the patience that a slow one brought.
+/// Longer than a tick interval, which passes after a write in any case, and well below the minimum
+/// election timeout: a shorter write cannot be mistaken for loss of contact with another voter.
+constexpr duration slow_write_threshold = std::chrono::milliseconds(30);
+/// A leader sends nothing while it writes, and its next message follows at most one heartbeat
+/// interval later. Twice the write time covers both.
+constexpr int write_time_factor = 2;
+/// Decay of the slowest write time per further write: after eight fast writes about a tenth of the
+/// extension caused by a slow one is left.
 constexpr double slow_write_decay = 0.75;
-/// Without any write to go by, a slow one counts for so long: disks are slow for some seconds up to
-/// a minute, while others write much to them.
-constexpr duration slow_write_memory = std::chrono::seconds(60);
-/// At ten election timeouts, 3 s unless set otherwise, another voter's disk is likely the better.
-constexpr int most_timeouts_to_wait = 10;
-/// More would exceed the most that is waited for.
-constexpr int most_doublings = 4;
+/// How long a slow write counts when no other write follows. Heavy writes by other processes slow a
+/// disk down for a few seconds up to a minute.
+constexpr duration slow_write_retention = std::chrono::seconds(60);
+/// After ten election timeouts, 3 s by default, another voter probably has the faster disk.
+constexpr int max_timeout_factor = 10;
+/// Four doublings exceed `max_timeout_factor` already.
+constexpr int max_timeout_doublings = 4;
 
 } // namespace
 
@@ -61,64 +61,67 @@
 
 replica::replica(replica_options options, durable_log &log, instant now)
     : m_options(std::move(options)), m_log(&log), m_random(m_options.seed), m_now(now) {
-    m_commit = m_log->snapshot() ? m_log->snapshot()->index : 0;
-    m_handed_out = m_commit;
+    m_commit_index = m_log->snapshot() ? m_log->snapshot()->index : 0;
+    m_delivered_index = m_commit_index;
     reload_members(m_log->last_index());
     reset_election_timer(now);
 }
 
-/// While this voter's thread waited for its own disk it read no messages, so that time tells
-/// nothing about the others. Counted as their silence it let a candidate stand for the next term
-/// before it had read the votes for the last one, and made a leader step down though its followers
-/// had answered: with syncs of 200 ms nobody was ever elected.
+/// Excludes the time that this thread was blocked on its own disk from all contact timeouts: no
+/// messages are read during a write. If it counted, a candidate would start an election for the
+/// next term before it had read the votes for the last one, and a leader would step down although
+/// its followers had replied; with syncs of 200 ms no leader was ever elected.
 void replica::begin_step(instant now) {
-    const duration waited = now - m_now;
-    if (waited <= duration{}) {
-        return; // still the same step, with what it wrote
+    const duration elapsed = now - m_now;
+    if (elapsed <= duration{}) {
+        return; // still the same step
     }
     m_now = now;
-    if (!std::exchange(m_wrote, false)) {
+    if (!std::exchange(m_step_blocked_on_disk, false)) {
         return;
     }
-    note_write(waited);
-    if (waited < least_slow_write) {
+    record_write_time(elapsed);
+    if (elapsed < slow_write_threshold) {
         return;
     }
-    m_election_at += waited;
-    m_leader_heard += waited;
+    m_election_at += elapsed;
+    m_leader_contact_at += elapsed;
     for (auto &[voter, state] : m_progress) {
-        state.heard += waited;
+        state.last_contact += elapsed;
     }
 }
 
-void replica::note_write(duration time) {
-    const duration left = std::chrono::duration_cast<duration>(slowest_write() * slow_write_decay);
-    if (time >= left) {
-        m_slowest_write_until = m_now + slow_write_memory;
+void replica::record_write_time(duration time) {
+    const duration decayed =
+        std::chrono::duration_cast<duration>(slowest_write() * slow_write_decay);
+    if (time >= decayed) {
+        m_slowest_write_expires_at = m_now + slow_write_retention;
     }
-    m_slowest_write = std::max(time, left);
+    m_slowest_write = std::max(time, decayed);
 }
 
-/// Of the last writes, the older the less.
+/// Decaying maximum of the recent write times; zero once it has expired.
 duration replica::slowest_write() const {
-    return m_now < m_slowest_write_until ? m_slowest_write : duration{};
+    return m_now < m_slowest_write_expires_at ? m_slowest_write : duration{};
 }
 
-/// How long another voter may take for what it has to write first. Usually the election timeout.
-/// Disks that are slow for one voter tend to be so for all: with syncs of 400 ms and 300 to 600 ms
-/// of patience no vote was answered in time. A candidate whose own disk is fast can't know that of
-/// the others, so from the second election on that it does not win it waits twice as long.
-duration replica::patience() const {
-    const duration most = m_options.election_timeout * most_timeouts_to_wait;
-    const int doublings = std::clamp(m_lost_elections - 1, 0, most_doublings);
+/// Lower bound of the election timeout, extended for voters that have to write before they reply. A
+/// disk that is slow for one voter is usually slow for all: with syncs of 400 ms and timeouts of
+/// 300 to 600 ms no vote was answered in time. A candidate with a fast disk cannot measure the
+/// disks of the others, so it doubles the bound for each lost election from the second on.
+duration replica::adaptive_election_timeout() const {
+    const duration most = m_options.election_timeout * max_timeout_factor;
+    const int doublings = std::clamp(m_failed_elections - 1, 0, max_timeout_doublings);
     const duration least =
         std::min(m_options.election_timeout * (std::int64_t{1} << doublings), most);
-    return std::clamp(slowest_write() * writes_to_wait_for, least, most);
+    return std::clamp(slowest_write() * write_time_factor, least, most);
 }
 
-/// How long another voter may be silent. One that writes behind answers while its disk is busy.
-duration replica::silence_limit() const {
-    return m_log->settings().write_behind ? m_options.election_timeout : patience();
+/// Time without a message after which contact with a voter counts as lost. Write-behind voters
+/// reply while their disks are busy, so they need no extension.
+duration replica::contact_timeout() const {
+    return m_log->settings().write_behind ? m_options.election_timeout
+                                          : adaptive_election_timeout();
 }
 
 void replica::tick(instant now) {
@@ -127,31 +130,32 @@
         return;
     }
     if (m_role != role::leader) {
-        // Without its own vote on the disk a voter can't ask for others.
+        // A voter must not campaign before its own last vote is durable.
         if (now >= m_election_at && m_log->vote_durable()) {
             start_election(true, now);
         }
         return;
     }
     if (now >= m_quorum_check_at) {
-        // Cut off from a quorum: a newer leader may exist. Going on would only keep nodes asking
-        // here.
-        const bool heard = quorum([&](const node_address &voter) {
-            return voter == m_options.self || m_progress[voter].heard + silence_limit() * 2 > now;
+        // Without contact to a quorum a newer leader may exist, and staying leader would only keep
+        // nodes from looking for it.
+        const bool in_contact = quorum([&](const node_address &voter) {
+            return voter == m_options.self ||
+                   m_progress[voter].last_contact + contact_timeout() * 2 > now;
         });
-        if (!heard) {
+        if (!in_contact) {
             become_follower(term(), {}, now);
             return;
         }
         m_quorum_check_at = now + m_options.heartbeat_interval;
     }
-    if (!is_voter() && change_settled()) {
-        // Replaced while leading: the others elect one of themselves.
+    if (!is_voter() && membership_committed()) {
+        // This leader was replaced; the remaining voters elect another.
         become_follower(term(), {}, now);
         return;
     }
     for (const node_address &peer : peers()) {
-        if (m_progress[peer].sent + m_options.heartbeat_interval <= now) {
+        if (m_progress[peer].last_sent + m_options.heartbeat_interval <= now) {
             send_append(peer, now);
         }
     }
@@ -175,42 +179,42 @@
     if (m_role != role::leader) {
         return std::nullopt;
     }
-    const std::uint64_t index = m_log->last_index() + m_queued.size() + 1;
-    m_queued.push_back({index, term(), kind, std::move(payload)});
+    const std::uint64_t index = m_log->last_index() + m_queued_entries.size() + 1;
+    m_queued_entries.push_back({index, term(), kind, std::move(payload)});
     return index;
 }
 
 void replica::flush(instant now) {
     begin_step(now);
     if (m_role != role::leader) {
-        m_queued.clear();
+        m_queued_entries.clear();
         return;
     }
-    if (!m_queued.empty()) {
-        const std::vector<log_entry> entries = std::move(m_queued);
-        m_queued.clear();
+    if (!m_queued_entries.empty()) {
+        const std::vector<log_entry> entries = std::move(m_queued_entries);
+        m_queued_entries.clear();
         begin_write();
         if (!m_log->append(entries)) {
             fail();
             return;
         }
         for (const log_entry &entry : entries) {
-            note_members(entry);
+            apply_members_entry(entry);
         }
         send_all(now);
         advance_commit();
     }
-    if (m_round_sent < m_round && m_round_sent_at + m_options.round_interval <= now) {
+    if (m_sent_round < m_requested_round && m_round_sent_at + m_options.round_interval <= now) {
         send_all(now);
     }
 }
 
 bool replica::replace_voter(const node_address &learner,
                             const std::optional<node_address> &replaces) {
-    const bool change_open = m_members.learner.has_value() || !change_settled();
-    const bool bad_old = replaces && m_members.voters.count(*replaces) == 0;
-    if (m_role != role::leader || change_open || bad_old || m_members.voters.count(learner) != 0 ||
-        m_commit < m_term_start) {
+    const bool change_pending = m_members.learner.has_value() || !membership_committed();
+    const bool unknown_replaced = replaces && m_members.voters.count(*replaces) == 0;
+    if (m_role != role::leader || change_pending || unknown_replaced ||
+        m_members.voters.count(learner) != 0 || m_commit_index < m_term_start) {
         return false;
     }
     membership next = m_members;
@@ -221,7 +225,7 @@
 }
 
 bool replica::cancel_change() {
-    if (m_role != role::leader || !m_members.learner || !change_settled()) {
+    if (m_role != role::leader || !m_members.learner || !membership_committed()) {
         return false;
     }
     membership next = m_members;
@@ -232,16 +236,16 @@
 }
 
 std::uint64_t replica::request_round() {
-    if (m_round_sent == m_round) {
-        ++m_round;
+    if (m_sent_round == m_requested_round) {
+        ++m_requested_round;
     }
-    return m_round;
+    return m_requested_round;
 }
 
 duration replica::time_since_contact(const node_address &voter, instant now) const {
     const auto found = m_progress.find(voter);
     return voter == m_options.self || found == m_progress.end() ? duration{}
-                                                                : now - found->second.heard;
+                                                                : now - found->second.last_contact;
 }
 
 std::vector<outgoing> replica::take_outgoing() {
@@ -250,8 +254,8 @@
 
 std::vector<log_entry> replica::take_committed() {
     std::vector<log_entry> entries;
-    while (m_handed_out < m_commit) {
-        const log_entry *entry = m_log->entry_at(++m_handed_out);
+    while (m_delivered_index < m_commit_index) {
+        const log_entry *entry = m_log->entry_at(++m_delivered_index);
         assert(entry != nullptr);
         entries.push_back(*entry);
     }
@@ -259,11 +263,11 @@
 }
 
 std::optional<log_snapshot> replica::take_installed_snapshot() {
-    return std::exchange(m_installed, std::nullopt);
+    return std::exchange(m_installed_snapshot, std::nullopt);
 }
 
 bool replica::compact(std::uint64_t index, std::string state) {
-    assert(index <= m_handed_out);
+    assert(index <= m_delivered_index);
     membership members = m_options.initial;
     if (m_log->snapshot()) {
         std::string reason;
@@ -288,7 +292,7 @@
 void replica::start_election(bool pre_vote, instant now) {
     reset_election_timer(now);
     if (m_members.voters.count(m_options.self) == 0) {
-        return; // a learner, or a voter that was replaced
+        return; // a learner, or a voter that was removed
     }
     if (!pre_vote && !save_vote(term() + 1, m_options.self)) {
         return;
@@ -298,14 +302,14 @@
     m_pre_vote = pre_vote;
     m_votes = {m_options.self};
     if (!pre_vote && m_log->settings().write_behind) {
-        ++m_lost_elections; // until it is won
+        ++m_failed_elections; // reset when a leader is known
     }
     const vote_request request{.term = pre_vote ? term() + 1 : term(),
                                .last_index = m_log->last_index(),
                                .last_term = m_log->term_at(m_log->last_index()).value_or(0),
                                .pre_vote = pre_vote};
-    // Others are asked while this voter's own vote is being written: those that hear of it don't
-    // stand for the same term.
+    // Sent before this voter's own vote is durable: voters that receive the request don't become
+    // candidates for the same term.
     for (const node_address &peer : peers()) {
         m_outgoing.push_back({peer, request});
     }
@@ -318,30 +322,34 @@
            (request.last_term == my_term && request.last_index >= m_log->last_index());
 }
 
-bool replica::knows_leader(instant now) const {
-    // By the usual timeout, however slow this voter's disk is: it may be the only other one left,
-    // and a voter with a fast disk that has waited for long enough should get its vote.
+bool replica::has_recent_leader(instant now) const {
+    // Uses the plain election timeout, however slow this voter's disk is: it may be the only other
+    // voter left, and a candidate with a fast disk whose own timeout has passed should get its
+    // vote.
     return m_role == role::leader ||
-           (!m_leader.empty() && m_leader_heard + m_options.election_timeout > now);
+           (!m_leader.empty() && m_leader_contact_at + m_options.election_timeout > now);
 }
 
 void replica::on(const node_address &from, const vote_request &request, instant now) {
     if (request.pre_vote) {
-        // A voter that was cut off must not disturb a leader that the others still hear.
-        const bool granted = request.term > term() && log_is_current(request) && !knows_leader(now);
-        // A refusal tells the term here: a voter with the longer log but an earlier term would ask
-        // for votes under terms that are over, for ever, while nobody else can win.
-        const std::uint64_t told = granted ? request.term : term();
+        // A voter that was partitioned away must not disrupt a leader that others are in contact
+        // with.
+        const bool granted =
+            request.term > term() && log_is_current(request) && !has_recent_leader(now);
+        // A rejection carries this voter's term. Otherwise a voter with the longest log but an
+        // older term would request votes for past terms for ever, while no other voter can win.
+        const std::uint64_t reply_term = granted ? request.term : term();
         m_outgoing.push_back(
-            {from, vote_reply{.term = told, .pre_vote = true, .granted = granted}});
+            {from, vote_reply{.term = reply_term, .pre_vote = true, .granted = granted}});
         return;
     }
     const bool newer = request.term > term();
     const std::string &voted_for = m_log->vote().voted_for;
-    const bool free_vote = newer || voted_for.empty() || voted_for == from || g_defects.forget_vote;
-    const bool granted = request.term >= term() && free_vote && log_is_current(request);
-    // Term and vote go to the disk in one write: two would keep the candidate waiting twice as
-    // long, and on a slow disk longer than until the next election.
+    const bool vote_available =
+        newer || voted_for.empty() || voted_for == from || g_defects.forget_vote;
+    const bool granted = request.term >= term() && vote_available && log_is_current(request);
+    // Term and vote are stored in one write. Two writes would double the candidate's wait, on a
+    // slow disk beyond its election timeout.
     if (granted && !save_vote(request.term, from)) {
         return;
     }
@@ -384,7 +392,8 @@
     if (m_pre_vote) {
         start_election(false, now);
     } else if (m_log->vote_durable() || g_defects.own_vote_before_sync) {
-        // Else a crash would let this voter be elected for the same term again, with another log.
+        // Otherwise this voter could crash, lose its vote, and be elected for the same term again
+        // with a different log.
         become_leader(now);
     }
 }
@@ -402,36 +411,36 @@
     if (new_term > term() && !save_vote(new_term, {})) {
         return;
     }
-    if (m_acknowledged.term != term()) {
-        m_acknowledged = {.term = term()};
+    if (m_follower_ack.term != term()) {
+        m_follower_ack = {.term = term()};
     }
     if (!leader.empty()) {
-        m_lost_elections = 0;
+        m_failed_elections = 0;
     }
     m_role = role::follower;
     m_leader = leader;
-    m_queued.clear();
+    m_queued_entries.clear();
     reset_election_timer(now);
 }
 
 void replica::become_leader(instant now) {
     m_role = role::leader;
     m_leader = m_options.self;
-    m_lost_elections = 0;
+    m_failed_elections = 0;
     m_progress.clear();
     for (const node_address &peer : peers()) {
-        m_progress[peer] = {.next = m_log->last_index() + 1, .heard = now};
+        m_progress[peer] = {.next = m_log->last_index() + 1, .last_contact = now};
     }
     m_quorum_check_at = now + m_options.election_timeout;
-    m_queued.clear();
-    m_round_sent = m_round;
-    m_confirmed_round = m_round;
+    m_queued_entries.clear();
+    m_sent_round = m_requested_round;
+    m_confirmed_round = m_requested_round;
     m_term_start = *propose(entry_kind::election, {});
     flush(now);
 }
 
 void replica::reset_election_timer(instant now) {
-    const duration least = m_leader.empty() ? patience() : silence_limit();
+    const duration least = m_leader.empty() ? adaptive_election_timeout() : contact_timeout();
     std::uniform_int_distribution<duration::rep> spread(0, least.count());
     m_election_at = now + least + duration(spread(m_random));
 }
@@ -453,7 +462,7 @@
 }
 
 void replica::send_all(instant now) {
-    m_round_sent = m_round;
+    m_sent_round = m_requested_round;
     m_round_sent_at = now;
     for (const node_address &peer : peers()) {
         send_append(peer, now);
@@ -472,8 +481,8 @@
     append_request request{.term = term(),
                            .previous_index = previous,
                            .previous_term = *previous_term,
-                           .commit_index = m_commit,
-                           .round = m_round_sent};
+                           .commit_index = m_commit_index,
+                           .round = m_sent_round};
     std::size_t bytes = 0;
     while (request.entries.size() < m_options.entries_per_message &&
            bytes < m_options.bytes_per_message) {
@@ -483,22 +492,22 @@
         }
         bytes += entry->payload.size();
         request.entries.push_back(*entry);
-        ++state.next; // sent on ahead; a refusal or a lost message sets it back
+        ++state.next; // pipelined; a rejection sets it back
     }
-    state.sent = now;
+    state.last_sent = now;
     m_outgoing.push_back({to, std::move(request)});
 }
 
 void replica::send_snapshot(const node_address &to, progress &state, instant now) {
-    const bool recently = state.snapshot_sent && state.sent + m_options.election_timeout > now;
+    const bool recently = state.snapshot_sent && state.last_sent + m_options.election_timeout > now;
     if (recently || !m_log->snapshot()) {
         return;
     }
-    state.sent = now;
+    state.last_sent = now;
     state.snapshot_sent = true;
     m_outgoing.push_back(
         {to,
-         snapshot_request{.term = term(), .round = m_round_sent, .snapshot = *m_log->snapshot()}});
+         snapshot_request{.term = term(), .round = m_sent_round, .snapshot = *m_log->snapshot()}});
 }
 
 void replica::on(const node_address &from, const append_request &request, instant now) {
@@ -508,12 +517,12 @@
         return;
     }
     become_follower(request.term, from, now);
-    m_leader_heard = now;
+    m_leader_contact_at = now;
     if (m_role == role::failed) {
         return;
     }
     reply.term = term();
-    // What the snapshot covers is committed and equal everywhere, so it counts as a match.
+    // Entries covered by the snapshot are committed, so they match the leader's log.
     std::uint64_t previous = request.previous_index;
     std::vector<log_entry> entries = request.entries;
     if (previous < m_log->first_index() - 1) {
@@ -530,20 +539,21 @@
         return m_log->term_at(entry.index) != entry.term;
     });
     entries.erase(entries.begin(), differs);
-    if (!entries.empty() && !take_entries(entries)) {
+    if (!entries.empty() && !store_entries(entries)) {
         return;
     }
     commit_to(std::min(request.commit_index, reply.match_index));
-    m_acknowledged.matched = std::max(m_acknowledged.matched, reply.match_index);
-    m_acknowledged.round = std::max(m_acknowledged.round, request.round);
-    // Answered at once, whatever the disk does: the leader has to know that it is heard.
+    m_follower_ack.matched = std::max(m_follower_ack.matched, reply.match_index);
+    m_follower_ack.round = std::max(m_follower_ack.round, request.round);
+    // Replies without waiting for the disk: the leader needs the reply to stay in contact. The
+    // match index covers synced entries only.
     reply.accepted = true;
     reply.match_index = durable_match(reply.match_index);
-    m_acknowledged.told = std::max(m_acknowledged.told, reply.match_index);
+    m_follower_ack.reported = std::max(m_follower_ack.reported, reply.match_index);
     m_outgoing.push_back({from, reply});
 }
 
-/// Of the entries up to `matched`, which are the leader's, how many may be acknowledged.
+/// The last index up to `matched` that is durable and may be acknowledged.
 std::uint64_t replica::durable_match(std::uint64_t matched) const {
     if (g_defects.acknowledge_before_sync) {
         return matched;
@@ -552,23 +562,23 @@
 }
 
 void replica::acknowledge_durable() {
-    const std::uint64_t match = durable_match(m_acknowledged.matched);
-    if (m_leader.empty() || m_acknowledged.term != term() || match <= m_acknowledged.told) {
+    const std::uint64_t match = durable_match(m_follower_ack.matched);
+    if (m_leader.empty() || m_follower_ack.term != term() || match <= m_follower_ack.reported) {
         return;
     }
-    m_acknowledged.told = match;
+    m_follower_ack.reported = match;
     m_outgoing.push_back({m_leader, append_reply{.term = term(),
                                                  .accepted = true,
                                                  .match_index = match,
-                                                 .round = m_acknowledged.round}});
+                                                 .round = m_follower_ack.round}});
 }
 
-bool replica::take_entries(const std::vector<log_entry> &entries) {
+bool replica::store_entries(const std::vector<log_entry> &entries) {
     const bool replaces = entries.front().index <= m_log->last_index();
     begin_write();
-    // A leader that contradicts a committed entry means two histories: going on would choose one
-    // of them silently.
-    if (entries.front().index <= m_commit || !m_log->append(entries)) {
+    // A leader that overwrites a committed entry has a diverged log. Continuing would silently pick
+    // one of the two histories.
+    if (entries.front().index <= m_commit_index || !m_log->append(entries)) {
         fail();
         return false;
     }
@@ -577,7 +587,7 @@
         return true;
     }
     for (const log_entry &entry : entries) {
-        note_members(entry);
+        apply_members_entry(entry);
     }
     return true;
 }
@@ -592,26 +602,26 @@
         return;
     }
     progress &state = found->second;
-    state.heard = now;
+    state.last_contact = now;
     state.round = std::max(state.round, reply.round);
     advance_round();
     if (!reply.accepted) {
-        const auto wanted = std::clamp<std::uint64_t>(reply.match_index + 1, state.match + 1,
-                                                      m_log->last_index() + 1);
-        const bool under_way = wanted >= state.resent_from && state.resent_from != 0 &&
-                               state.resent_at + m_options.resend_interval > now;
-        if (under_way) {
+        const auto next_index = std::clamp<std::uint64_t>(reply.match_index + 1, state.match + 1,
+                                                          m_log->last_index() + 1);
+        const bool resend_in_flight = next_index >= state.resent_from && state.resent_from != 0 &&
+                                      state.resent_at + m_options.resend_interval > now;
+        if (resend_in_flight) {
             return;
         }
-        state.next = wanted;
-        state.resent_from = wanted;
+        state.next = next_index;
+        state.resent_from = next_index;
         state.resent_at = now;
         send_append(from, now);
         return;
     }
     state.snapshot_sent = false;
     state.match = std::max(state.match, reply.match_index);
-    // A message that was lost on the way is noticed by the next heartbeat, which is refused.
+    // A lost message shows when the follower rejects the next heartbeat.
     state.next = std::max(state.next, state.match + 1);
     advance_commit();
     promote_learner();
@@ -626,27 +636,28 @@
         return;
     }
     become_follower(request.term, from, now);
-    m_leader_heard = now;
+    m_leader_contact_at = now;
     if (m_role == role::failed) {
         return;
     }
     const log_snapshot &snapshot = request.snapshot;
-    if (snapshot.index > m_commit) {
+    if (snapshot.index > m_commit_index) {
         begin_write();
         if (!m_log->save_snapshot(snapshot)) {
             fail();
             return;
         }
-        m_commit = snapshot.index;
-        m_handed_out = snapshot.index;
-        m_installed = snapshot;
+        m_commit_index = snapshot.index;
+        m_delivered_index = snapshot.index;
+        m_installed_snapshot = snapshot;
         reload_members(m_log->last_index());
     }
-    m_acknowledged.matched = std::max(m_acknowledged.matched, snapshot.index);
-    m_acknowledged.round = std::max(m_acknowledged.round, request.round);
-    // Taken for accepted without any match, it would be sent again with the next heartbeat.
+    m_follower_ack.matched = std::max(m_follower_ack.matched, snapshot.index);
+    m_follower_ack.round = std::max(m_follower_ack.round, request.round);
+    // Accepted only once the snapshot is durable: an accepted reply clears `snapshot_sent`, and
+    // without a match the leader would send the snapshot again with the next heartbeat.
     const std::uint64_t match = durable_match(snapshot.index);
-    m_acknowledged.told = std::max(m_acknowledged.told, match);
+    m_follower_ack.reported = std::max(m_follower_ack.reported, match);
     m_outgoing.push_back({from, append_reply{.term = term(),
                                              .accepted = match == snapshot.index,
                                              .match_index = match,
@@ -656,16 +667,16 @@
 void replica::advance_commit() {
     const std::uint64_t own_match =
         g_defects.commit_before_sync ? m_log->last_index() : m_log->durable_index();
-    for (std::uint64_t index = m_log->last_index(); index > m_commit; --index) {
-        // Entries of earlier terms are committed only along with one of this term: a later leader
-        // could still replace them even though a majority holds them.
+    for (std::uint64_t index = m_log->last_index(); index > m_commit_index; --index) {
+        // Entries of earlier terms are committed only together with one of this term: a later
+        // leader could still overwrite them although a majority stores them.
         if (m_log->term_at(index) != term()) {
             return;
         }
-        const bool held = quorum([&](const node_address &voter) {
+        const bool replicated = quorum([&](const node_address &voter) {
             return voter == m_options.self ? own_match >= index : m_progress[voter].match >= index;
         });
-        if (held) {
+        if (replicated) {
             commit_to(index);
             return;
         }
@@ -673,11 +684,11 @@
 }
 
 void replica::advance_round() {
-    for (std::uint64_t round = m_round_sent; round > m_confirmed_round; --round) {
-        const bool echoed = quorum([&](const node_address &voter) {
+    for (std::uint64_t round = m_sent_round; round > m_confirmed_round; --round) {
+        const bool acknowledged = quorum([&](const node_address &voter) {
             return voter == m_options.self || m_progress[voter].round >= round;
         });
-        if (echoed) {
+        if (acknowledged) {
             m_confirmed_round = round;
             return;
         }
@@ -685,32 +696,34 @@
 }
 
 void replica::commit_to(std::uint64_t index) {
-    m_commit = std::max(m_commit, std::min(index, m_log->last_index()));
+    m_commit_index = std::max(m_commit_index, std::min(index, m_log->last_index()));
 }
 
 // ---- membership ----
 
-bool replica::change_settled() const {
-    const bool queued = std::any_of(m_queued.begin(), m_queued.end(), [](const log_entry &entry) {
-        return entry.kind == entry_kind::members;
-    });
-    return !queued && (m_member_history.empty() || m_member_history.rbegin()->first <= m_commit);
+bool replica::membership_committed() const {
+    const bool queued =
+        std::any_of(m_queued_entries.begin(), m_queued_entries.end(),
+                    [](const log_entry &entry) { return entry.kind == entry_kind::members; });
+    return !queued &&
+           (m_member_history.empty() || m_member_history.rbegin()->first <= m_commit_index);
 }
 
 void replica::promote_learner() {
-    if (!m_members.learner || m_member_history.empty() || !change_settled()) {
+    if (!m_members.learner || m_member_history.empty() || !membership_committed()) {
         return;
     }
-    // Counting a voter that still lacks entries would raise the quorum without anyone able to fill
-    // it: with one more loss nothing could be decided until it has them.
-    const bool caught_up = m_progress[*m_members.learner].match >= m_commit;
+    // A voter that lacks entries raises the quorum size but cannot acknowledge new entries: with
+    // one more loss nothing could be committed until it has caught up.
+    const bool caught_up = m_progress[*m_members.learner].match >= m_commit_index;
     if (!caught_up) {
         return;
     }
     membership next = m_members;
     if (next.replaces && next.voters.count(*next.replaces) != 0) {
-        // One at a time, and the old voter, which is mostly lost already, leaves first: joining
-        // first would raise the quorum, and one more loss before it left would stop everything.
+        // One voter per change. The old voter, which has usually failed, is removed first: adding
+        // first would raise the quorum size, and one more loss before the removal would stop all
+        // commits.
         next.voters.erase(*next.replaces);
     } else {
         next.voters.insert(*next.learner);
@@ -720,7 +733,7 @@
     propose(entry_kind::members, encode(next));
 }
 
-void replica::note_members(const log_entry &entry) {
+void replica::apply_members_entry(const log_entry &entry) {
     if (entry.kind != entry_kind::members) {
         return;
     }
@@ -732,11 +745,13 @@
     m_member_history[entry.index] = *value;
     m_members = *value;
     for (const node_address &peer : peers()) {
-        m_progress.try_emplace(peer, progress{.next = m_log->last_index() + 1, .heard = m_now});
+        m_progress.try_emplace(peer,
+                               progress{.next = m_log->last_index() + 1, .last_contact = m_now});
     }
 }
 
-/// A membership entry counts from when it is in the log, and no longer once it was replaced.
+/// Rebuilds the membership from the log. A membership entry takes effect when it is appended, and
+/// no longer applies once it was overwritten.
 void replica::reload_members(std::uint64_t up_to) {
     m_member_history.clear();
     m_members = m_options.initial;
@@ -745,7 +760,7 @@
         m_members = decode_membership(m_log->snapshot()->members, reason).value_or(m_members);
     }
     for (std::uint64_t index = m_log->first_index(); index <= up_to; ++index) {
-        note_members(*m_log->entry_at(index));
+        apply_members_entry(*m_log->entry_at(index));
     }
 }
 
@@ -754,12 +769,12 @@
     return static_cast<std::size_t>(count) * 2 > m_members.voters.size();
 }
 
-// ---- the disk ----
+// ---- disk writes ----
 
 void replica::begin_write() {
-    m_wrote = !m_log->settings().write_behind;
+    m_step_blocked_on_disk = !m_log->settings().write_behind;
     if (m_log->staged() == m_log->written()) {
-        m_staged_at = m_now;
+        m_write_staged_at = m_now;
     }
 }
 
@@ -767,7 +782,7 @@
     if (m_log->staged() == m_log->written()) {
         m_outgoing.push_back(std::move(item));
     } else {
-        m_unsynced.push_back({m_log->staged(), std::move(item)});
+        m_awaiting_sync.push_back({m_log->staged(), std::move(item)});
     }
 }
 
@@ -780,21 +795,22 @@
         fail();
         return;
     }
-    note_write(now - std::exchange(m_staged_at, now));
-    const bool answers = !m_unsynced.empty() && m_unsynced.front().first <= m_log->written();
-    while (!m_unsynced.empty() && m_unsynced.front().first <= m_log->written()) {
-        m_outgoing.push_back(std::move(m_unsynced.front().second));
-        m_unsynced.pop_front();
+    record_write_time(now - std::exchange(m_write_staged_at, now));
+    const bool released =
+        !m_awaiting_sync.empty() && m_awaiting_sync.front().first <= m_log->written();
+    while (!m_awaiting_sync.empty() && m_awaiting_sync.front().first <= m_log->written()) {
+        m_outgoing.push_back(std::move(m_awaiting_sync.front().second));
+        m_awaiting_sync.pop_front();
     }
     switch (m_role) {
     case role::leader: advance_commit(); break;
     case role::candidate:
-        reset_election_timer(now); // the writes of the others began later
+        reset_election_timer(now); // the other voters started their writes later
         count_votes(now);
         break;
     default:
-        if (answers) {
-            reset_election_timer(now); // so does the candidate that has this voter's vote
+        if (released) {
+            reset_election_timer(now); // the candidate that got this vote needs time too
         }
         acknowledge_durable();
         break;
@@ -803,9 +819,9 @@
 
 void replica::fail() {
     m_role = role::failed;
-    m_unsynced.clear();
+    m_awaiting_sync.clear();
     m_leader.clear();
-    m_queued.clear();
+    m_queued_entries.clear();
 }
 
 } // namespace peppertack
