--- a/include/peppertack/coordination/routing_history.hpp
+++ b/include/peppertack/coordination/routing_history.hpp
@@ -8,23 +8,23 @@
 
 namespace peppertack {
 
-/// The latest changes of the routing table, from which each node is told what it lacks. Not thread
-/// safe.
+/// The latest deltas of the routing table, from which nodes are brought up to date incrementally.
+/// Not thread safe.
 class routing_history {
 public:
-    /// A change was accepted: `delta` as `encode` wrote it.
+    /// Records an accepted change; `delta` is in the format of `encode`.
     void record(const std::string &delta);
-    /// What leads a node from the routing table of `version` to `current`, packed; the whole of it
-    /// if the node's is older than what is remembered. Many nodes ask for the same right after a
-    /// change.
+    /// Returns the packed delta from the routing table of `version` to `current`, or the full table
+    /// if `version` is older than the history. Results are cached, since many nodes request the
+    /// same delta right after a change. The reference is valid until the next call.
     const std::string &packed_since(std::uint64_t version, const routing_table &current);
 
 private:
     routing_delta delta_since(std::uint64_t version, const routing_table &current) const;
 
-    std::deque<routing_delta> m_deltas;            ///< each changes what the one before results in
-    std::map<std::uint64_t, std::string> m_packed; ///< by the version that it leads from
-    std::uint64_t m_packed_to = 0;
+    std::deque<routing_delta> m_deltas;            ///< consecutive versions, oldest first
+    std::map<std::uint64_t, std::string> m_packed; ///< by base version
+    std::uint64_t m_packed_version = 0;            ///< version that the cached deltas result in
 };
 
 } // namespace peppertack
--- a/include/peppertack/coordination/voter_roster.hpp
+++ b/include/peppertack/coordination/voter_roster.hpp
@@ -11,27 +11,29 @@
 
 namespace peppertack {
 
-/// host:port of a process from its identity. A voter's identity is its address, a mark, and a
-/// number that lives on its disk: a process that comes back with an empty disk is a stranger and
-/// must not vote under the name whose promises it has lost.
+/// Returns the host:port part of a process identity. A voter's identity is its address, a separator
+/// and a number stored on its disk: a process that restarts with an empty disk gets a new identity
+/// and must not vote under the old one, whose votes and acknowledgements it has lost.
 node_address address_of(const node_address &identity);
 inline constexpr char identity_separator = '#';
 
-/// Advises the leader on who should be a voter: takes spare processes in until there are as many
-/// voters as the tolerance of losses needs, and puts a spare in place of a voter that was lost, is
-/// leaving or came back without its disk. Not thread safe.
+/// Plans membership changes for the leader: adds spare processes until there are enough voters for
+/// the configured fault tolerance, and replaces a voter that failed, is leaving or restarted with
+/// an empty disk. Not thread safe.
 class voter_roster {
 public:
     struct options {
-        /// Voters wanted: twice the number of losses to be borne at once, and one. 0: operators
-        /// alone decide who is a voter.
+        /// Twice the number of simultaneous failures to tolerate, plus one. 0 disables automatic
+        /// changes: only operators change the voters.
         std::size_t desired_voters = 0;
-        std::vector<node_address> contacts; ///< addresses to ask at first
+        std::vector<node_address> contacts; ///< addresses to contact at startup
         duration offer_interval = std::chrono::milliseconds(250);
-        /// A spare not heard of for so long is not counted on: some offers in a row were lost.
+        /// A spare whose last offer is older than this, so that several offers in a row were lost,
+        /// is not used.
         duration offer_ttl = std::chrono::milliseconds(1200);
-        /// A voter silent for so long is replaced if there is a spare. Above an election and a
-        /// restart of a process, so that a passing fault does not cost a copy of the state.
+        /// A voter without contact for this long is replaced if there is a spare. Longer than an
+        /// election and a process restart, so that a transient fault does not cost a copy of the
+        /// state.
         duration voter_timeout = std::chrono::milliseconds(1500);
     };
 
@@ -43,19 +45,21 @@
 
         friend bool operator==(const change &, const change &) = default;
     };
-    using silence = std::function<duration(const node_address &)>;
+    using contact_age = std::function<duration(const node_address &)>;
 
+    /// Records an offer to become a voter, or a notice that the process is leaving.
     void record(const join_request &request, instant now);
     void remove_offer(const node_address &identity) { m_offers.erase(identity); }
-    /// The change to make next; nothing if all is well, nobody offers, or one is under way.
+    /// Returns the next membership change; nothing if none is needed, there is no spare, or a
+    /// change is in progress.
     std::optional<change> next_change(const membership &members, const node_address &self,
-                                      const silence &silent_for, instant now);
+                                      const contact_age &time_since_contact, instant now);
 
-    /// Whether this process should offer itself now; yields true once an interval.
+    /// Whether this process should offer itself as a voter now; true once per `offer_interval`.
     bool offer_due(instant now);
-    /// A leader counts this process: the next offer, if any, comes an interval later.
+    /// Postpones the next offer by `offer_interval`; for a process that is a voter already.
     void defer_offer(instant now) { m_offer_at = now + m_options.offer_interval; }
-    /// Whom to send an offer to.
+    /// Identities or addresses to send offers to.
     std::vector<node_address> contacts(const membership &members) const;
 
 private:
--- a/src/coordination/routing_history.cpp
+++ b/src/coordination/routing_history.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// Changes that a node may miss before it is sent the whole routing table: more than come within
-/// the second or two that a node takes to be heard again.
-constexpr std::size_t most_deltas = 32;
-constexpr std::size_t most_packed = 32;
+/// Changes that a node may miss before it is sent the full routing table: more than occur within
+/// the one or two seconds in which a node regains contact.
+constexpr std::size_t max_deltas = 32;
+constexpr std::size_t max_cached_packs = 32;
 
 } // namespace
 
@@ -23,19 +23,19 @@
         m_deltas.clear();
     }
     if (!read || read->base_version == 0) {
-        return; // a whole routing table; nodes are sent the same
+        return; // a full routing table, which nodes receive as such
     }
     m_deltas.push_back(without_sources(std::move(*read)));
-    if (m_deltas.size() > most_deltas) {
+    if (m_deltas.size() > max_deltas) {
         m_deltas.pop_front();
     }
 }
 
 const std::string &routing_history::packed_since(std::uint64_t version,
                                                  const routing_table &current) {
-    if (m_packed_to != current.version || m_packed.size() >= most_packed) {
+    if (m_packed_version != current.version || m_packed.size() >= max_cached_packs) {
         m_packed.clear();
-        m_packed_to = current.version;
+        m_packed_version = current.version;
     }
     const auto found = m_packed.find(version);
     return found != m_packed.end()
--- a/src/coordination/voter_roster.cpp
+++ b/src/coordination/voter_roster.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// What a process said of its end is void after this: it was restarted and goes on.
-constexpr duration leaving_lifetime = std::chrono::seconds(10);
+/// A leaving notice expires after this time: the process was restarted and stays.
+constexpr duration leaving_notice_ttl = std::chrono::seconds(10);
 
 } // namespace
 
@@ -26,7 +26,7 @@
 }
 
 std::optional<node_address> voter_roster::spare(const membership &members) const {
-    for (const auto &[identity, heard] : m_offers) {
+    for (const auto &[identity, last_offer] : m_offers) {
         if (members.voters.count(identity) == 0) {
             return identity;
         }
@@ -36,36 +36,37 @@
 
 std::optional<voter_roster::change> voter_roster::next_change(const membership &members,
                                                               const node_address &self,
-                                                              const silence &silent_for,
+                                                              const contact_age &time_since_contact,
                                                               instant now) {
     std::erase_if(m_offers,
                   [&](const auto &offer) { return offer.second + m_options.offer_ttl < now; });
     std::erase_if(m_leaving,
-                  [&](const auto &item) { return item.second + leaving_lifetime < now; });
+                  [&](const auto &item) { return item.second + leaving_notice_ttl < now; });
     if (m_options.desired_voters == 0 || members.learner || m_offers.empty()) {
         return std::nullopt;
     }
-    for (const auto &[identity, heard] : m_offers) {
+    for (const auto &[identity, last_offer] : m_offers) {
         if (members.voters.count(identity) != 0) {
             continue;
         }
-        // Another identity at a voter's address: that voter's disk, and its promises, are gone.
+        // A different identity at a voter's address: that voter's disk, with its votes and
+        // acknowledgements, is lost.
         for (const node_address &voter : members.voters) {
             if (voter != self && address_of(voter) == address_of(identity)) {
                 return change{identity, voter};
             }
         }
     }
-    const std::optional<node_address> newcomer = spare(members);
-    if (!newcomer) {
+    const std::optional<node_address> candidate = spare(members);
+    if (!candidate) {
         return std::nullopt;
     }
     if (members.voters.size() < m_options.desired_voters) {
-        return change{*newcomer, std::nullopt};
+        return change{*candidate, std::nullopt};
     }
     for (const node_address &voter : members.voters) {
-        if (m_leaving.count(voter) != 0 || silent_for(voter) > m_options.voter_timeout) {
-            return change{*newcomer, voter};
+        if (m_leaving.count(voter) != 0 || time_since_contact(voter) > m_options.voter_timeout) {
+            return change{*candidate, voter};
         }
     }
     return std::nullopt;
--- a/tests/coordination/fake_storage.hpp
+++ b/tests/coordination/fake_storage.hpp
@@ -8,7 +8,7 @@
 
 namespace peppertack::testing {
 
-/// Files in memory that lose what was not synced when they crash, and fail when told to.
+/// In-memory storage that loses unsynced data on a simulated crash and fails on request.
 class fake_storage final : public storage {
 public:
     enum class fault : std::uint8_t { none, full, sync_fails, unreadable };
@@ -46,11 +46,11 @@
     }
     bool sync(const std::string &name) override {
         if (m_fault == fault::sync_fails) {
-            m_files[name].dropped = true;
+            m_files[name].sync_failed = true;
             return fail("sync failed");
         }
-        // As a kernel does: pages that a failed sync dropped are read, and are never written.
-        if (!m_files[name].dropped) {
+        // Like a kernel: pages dropped by a failed sync can still be read, but are never written.
+        if (!m_files[name].sync_failed) {
             m_files[name].synced = m_files[name].bytes.size();
         }
         return true;
@@ -73,15 +73,15 @@
     }
     const std::string &last_reason() const override { return m_reason; }
 
-    /// Of what was not synced, any first part may have reached the disk, its last byte spoilt.
+    /// Keeps a random prefix of the unsynced data, possibly with its last byte corrupted.
     void crash(std::mt19937_64 &random) {
         for (auto &[name, file] : m_files) {
-            const std::size_t loose = file.bytes.size() - file.synced;
-            file.dropped = false;
-            if (loose == 0) {
+            const std::size_t unsynced = file.bytes.size() - file.synced;
+            file.sync_failed = false;
+            if (unsynced == 0) {
                 continue;
             }
-            file.bytes.resize(file.synced + random() % (loose + 1));
+            file.bytes.resize(file.synced + random() % (unsynced + 1));
             if (file.bytes.size() > file.synced && random() % 2 == 0) {
                 file.bytes.back() = static_cast<char>(file.bytes.back() ^ 0x55);
             }
@@ -97,7 +97,7 @@
     struct file {
         std::string bytes;
         std::size_t synced = 0;
-        bool dropped = false; ///< what is not synced never will be
+        bool sync_failed = false; ///< unsynced data will never be written
     };
     bool fail(const char *reason) {
         m_reason = reason;
