--- a/tests/coordination/durable_voter_test.cpp
+++ b/tests/coordination/durable_voter_test.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr duration tick_interval = 10ms;
-using news = durable_voter::disk_event;
+using disk_event = durable_voter::disk_event;
 
-/// A voter over a fake disk, with what the thread around it would do.
+/// A voter with fake storage; `run` does the work of the control thread.
 struct voter_fixture {
     explicit voter_fixture(std::set<node_address> voters = {"a:1"}) {
         durable_voter::options settings;
@@ -34,9 +34,9 @@
             for (const outgoing &item : voter->core().take_outgoing()) {
                 offers += std::holds_alternative<join_request>(item.body) ? 1 : 0;
             }
-            const news found = voter->check_disk({now, 0});
-            if (found != news::none) {
-                heard.push_back(found);
+            const disk_event event = voter->check_disk({now, 0});
+            if (event != disk_event::none) {
+                disk_events.push_back(event);
             }
         }
     }
@@ -57,114 +57,118 @@
     std::unique_ptr<durable_voter> voter;
     instant now{1000s};
     std::vector<submit_answer> answers;
-    std::vector<news> heard;
-    std::size_t offers = 0; ///< to become a voter
+    std::vector<disk_event> disk_events;
+    std::size_t offers = 0; ///< join requests sent
 };
 
 } // namespace
 
-TEST_CASE("calls that wait when the disk fails are told once that nothing was decided") {
-    voter_fixture alone;
-    alone.run(2s);
-    REQUIRE(alone.voter->core().established());
-    alone.submit("kept");
-    alone.run(100ms);
-    REQUIRE(alone.answers.size() == 1);
-    REQUIRE(alone.answers.front().error == error_kind::none);
-    alone.disk.set_fault(fake_storage::fault::full);
-    const std::uint64_t ticket = alone.submit("lost");
-    alone.run(2s);
-    alone.submit("while the disk is full");
-    alone.run(1s);
-    REQUIRE(alone.answers.size() == 3);
-    CHECK(alone.answers[1].ticket == ticket);
-    CHECK(alone.answers[1].error == error_kind::not_leader);
-    CHECK_FALSE(alone.answers[1].certain);
-    CHECK(alone.answers[2].error == error_kind::not_leader);
-    CHECK(alone.heard == std::vector<news>{news::failed});
-    alone.disk.set_fault(fake_storage::fault::none);
-    alone.run(4s);
-    CHECK(alone.answers.size() == 3);
-    CHECK(alone.heard == std::vector<news>{news::failed, news::recovered});
-    REQUIRE(alone.voter->core().established());
-    CHECK(alone.voter->core().state().table_change_id() == "kept");
-    alone.submit("after");
-    alone.run(100ms);
-    REQUIRE(alone.answers.size() == 4);
-    CHECK(alone.answers.back().error == error_kind::none);
+TEST_CASE("requests pending at a disk failure are answered once with an uncertain outcome") {
+    voter_fixture fixture;
+    fixture.run(2s);
+    REQUIRE(fixture.voter->core().established());
+    fixture.submit("kept");
+    fixture.run(100ms);
+    REQUIRE(fixture.answers.size() == 1);
+    REQUIRE(fixture.answers.front().error == error_kind::none);
+    fixture.disk.set_fault(fake_storage::fault::full);
+    const std::uint64_t ticket = fixture.submit("lost");
+    fixture.run(2s);
+    fixture.submit("while the disk is full");
+    fixture.run(1s);
+    REQUIRE(fixture.answers.size() == 3);
+    CHECK(fixture.answers[1].ticket == ticket);
+    CHECK(fixture.answers[1].error == error_kind::not_leader);
+    CHECK_FALSE(fixture.answers[1].certain);
+    CHECK(fixture.answers[2].error == error_kind::not_leader);
+    CHECK(fixture.disk_events == std::vector<disk_event>{disk_event::failed});
+    fixture.disk.set_fault(fake_storage::fault::none);
+    fixture.run(4s);
+    CHECK(fixture.answers.size() == 3);
+    CHECK(fixture.disk_events ==
+          std::vector<disk_event>{disk_event::failed, disk_event::recovered});
+    REQUIRE(fixture.voter->core().established());
+    CHECK(fixture.voter->core().state().table_change_id() == "kept");
+    fixture.submit("after");
+    fixture.run(100ms);
+    REQUIRE(fixture.answers.size() == 4);
+    CHECK(fixture.answers.back().error == error_kind::none);
 }
 
-TEST_CASE("a disk that refuses for long is tried about once a second") {
-    voter_fixture alone;
-    alone.run(2s);
-    alone.disk.set_fault(fake_storage::fault::full);
-    alone.submit("lost");
-    alone.run(60s);
-    CHECK(alone.role() == replica::role::failed);
-    CHECK(alone.voter->reopen_attempts() > 55);
-    CHECK(alone.voter->reopen_attempts() < 66);
-    CHECK(alone.voter->last_reason().find("disk") != std::string::npos);
-    alone.disk.set_fault(fake_storage::fault::none);
-    alone.run(1100ms);
-    CHECK(alone.heard == std::vector<news>{news::failed, news::recovered});
+TEST_CASE("a disk that keeps failing is retried about once a second") {
+    voter_fixture fixture;
+    fixture.run(2s);
+    fixture.disk.set_fault(fake_storage::fault::full);
+    fixture.submit("lost");
+    fixture.run(60s);
+    CHECK(fixture.role() == replica::role::failed);
+    CHECK(fixture.voter->reopen_attempts() > 55);
+    CHECK(fixture.voter->reopen_attempts() < 66);
+    CHECK(fixture.voter->last_reason().find("disk") != std::string::npos);
+    fixture.disk.set_fault(fake_storage::fault::none);
+    fixture.run(1100ms);
+    CHECK(fixture.disk_events ==
+          std::vector<disk_event>{disk_event::failed, disk_event::recovered});
 }
 
-TEST_CASE("a disk that fails again right after each success is not tried ever faster") {
-    voter_fixture alone;
-    alone.run(2s);
+TEST_CASE("a disk that fails right after each recovery does not reset the retry delay") {
+    voter_fixture fixture;
+    fixture.run(2s);
     for (int i = 0; i < 2000; ++i) {
-        // It takes the log and refuses what the voter writes next.
-        const bool away = alone.role() == replica::role::failed;
-        alone.disk.set_fault(away ? fake_storage::fault::none : fake_storage::fault::sync_fails);
-        if (!away) {
-            alone.submit("number " + std::to_string(i));
+        // The log opens, and the next write of the voter fails.
+        const bool disk_failed = fixture.role() == replica::role::failed;
+        fixture.disk.set_fault(disk_failed ? fake_storage::fault::none
+                                           : fake_storage::fault::sync_fails);
+        if (!disk_failed) {
+            fixture.submit("number " + std::to_string(i));
         }
-        alone.run(tick_interval);
+        fixture.run(tick_interval);
     }
-    CHECK(alone.heard.size() > 20);
-    CHECK(alone.heard.size() < 60);
+    CHECK(fixture.disk_events.size() > 20);
+    CHECK(fixture.disk_events.size() < 60);
 }
 
-TEST_CASE("a voter whose log contradicts the leader's stays silent") {
-    // Two histories in one system: which of them holds is not for this voter to choose, and opening
-    // the same log again would only bring it back to meet the other one.
-    voter_fixture one({"a:1", "b:1", "c:1"});
+TEST_CASE("a voter whose committed log diverges from the leader's stays failed") {
+    // The voter cannot decide which of two diverged histories is valid, and reopening the same log
+    // would only lead to the same conflict.
+    voter_fixture fixture({"a:1", "b:1", "c:1"});
     const auto entries = [](std::uint64_t term) {
         return std::vector<log_entry>{{1, term, entry_kind::election, ""}};
     };
-    one.voter->core().receive(
-        "b:1", append_request{.term = 5, .commit_index = 1, .entries = entries(5)}, {one.now, 0});
-    REQUIRE(one.voter->core().replication().commit_index() == 1);
-    one.voter->core().receive("c:1", append_request{.term = 6, .entries = entries(6)},
-                              {one.now, 0});
-    REQUIRE(one.role() == replica::role::failed);
-    one.run(20s);
-    CHECK(one.role() == replica::role::failed);
-    CHECK(one.heard.empty());
+    fixture.voter->core().receive(
+        "b:1", append_request{.term = 5, .commit_index = 1, .entries = entries(5)},
+        {fixture.now, 0});
+    REQUIRE(fixture.voter->core().replication().commit_index() == 1);
+    fixture.voter->core().receive("c:1", append_request{.term = 6, .entries = entries(6)},
+                                  {fixture.now, 0});
+    REQUIRE(fixture.role() == replica::role::failed);
+    fixture.run(20s);
+    CHECK(fixture.role() == replica::role::failed);
+    CHECK(fixture.disk_events.empty());
 }
 
-TEST_CASE("a voter whose log was damaged while its disk was away stays silent") {
-    voter_fixture alone;
-    alone.run(2s);
-    alone.submit("kept");
-    alone.run(100ms);
-    const std::string name = alone.disk.list()->back();
-    alone.disk.set_fault(fake_storage::fault::full);
-    alone.submit("lost");
-    alone.run(100ms);
-    alone.disk.bytes_of(name)[60] ^= 1;
-    alone.disk.set_fault(fake_storage::fault::none);
-    alone.run(5s);
-    CHECK(alone.heard == std::vector<news>{news::failed, news::damaged});
-    CHECK(alone.role() == replica::role::failed);
-    CHECK(alone.voter->last_reason().find("damaged") != std::string::npos);
+TEST_CASE("a voter whose log was damaged during a disk failure stays failed") {
+    voter_fixture fixture;
+    fixture.run(2s);
+    fixture.submit("kept");
+    fixture.run(100ms);
+    const std::string name = fixture.disk.list()->back();
+    fixture.disk.set_fault(fake_storage::fault::full);
+    fixture.submit("lost");
+    fixture.run(100ms);
+    fixture.disk.bytes_of(name)[60] ^= 1;
+    fixture.disk.set_fault(fake_storage::fault::none);
+    fixture.run(5s);
+    CHECK(fixture.disk_events == std::vector<disk_event>{disk_event::failed, disk_event::damaged});
+    CHECK(fixture.role() == replica::role::failed);
+    CHECK(fixture.voter->last_reason().find("damaged") != std::string::npos);
 }
 
-TEST_CASE("a vote given before the disk failed is not given again") {
-    voter_fixture one({"a:1", "b:1", "c:1"});
+TEST_CASE("a vote granted before a disk failure is not granted to another candidate") {
+    voter_fixture fixture({"a:1", "b:1", "c:1"});
     const auto vote_for = [&](const node_address &candidate, std::uint64_t term) {
-        one.voter->core().receive(candidate, vote_request{.term = term}, {one.now, 0});
-        for (const outgoing &item : one.voter->core().take_outgoing()) {
+        fixture.voter->core().receive(candidate, vote_request{.term = term}, {fixture.now, 0});
+        for (const outgoing &item : fixture.voter->core().take_outgoing()) {
             if (const auto *reply = std::get_if<vote_reply>(&item.body)) {
                 return reply->granted;
             }
@@ -172,30 +176,31 @@
         return false;
     };
     REQUIRE(vote_for("b:1", 7));
-    one.disk.set_fault(fake_storage::fault::sync_fails);
+    fixture.disk.set_fault(fake_storage::fault::sync_fails);
     CHECK_FALSE(vote_for("c:1", 8));
-    REQUIRE(one.role() == replica::role::failed);
-    one.disk.set_fault(fake_storage::fault::none);
-    one.run(tick_interval * 15);
-    REQUIRE(one.heard == std::vector<news>{news::failed, news::recovered});
+    REQUIRE(fixture.role() == replica::role::failed);
+    fixture.disk.set_fault(fake_storage::fault::none);
+    fixture.run(tick_interval * 15);
+    REQUIRE(fixture.disk_events ==
+            std::vector<disk_event>{disk_event::failed, disk_event::recovered});
     CHECK_FALSE(vote_for("c:1", 7));
-    CHECK(vote_for("b:1", one.voter->core().replication().term() + 1));
+    CHECK(vote_for("b:1", fixture.voter->core().replication().term() + 1));
 }
 
-TEST_CASE("a voter whose disk is away does not offer itself as a spare") {
-    // A lost voter was not made good although a sound process stood ready. One whose disk refused
-    // writes had been replaced, offered itself again, was taken in first by its name, could not
-    // store what it was sent, was given up after a while, and was taken in again.
-    voter_fixture one({"a:1", "b:1", "c:1"});
-    one.run(1s);
-    CHECK(one.offers > 0);
-    one.disk.set_fault(fake_storage::fault::full);
-    one.voter->core().receive("b:1", append_request{.term = 9}, {one.now, 0});
-    REQUIRE(one.role() == replica::role::failed);
-    one.offers = 0;
-    one.run(5s);
-    CHECK(one.offers == 0);
-    one.disk.set_fault(fake_storage::fault::none);
-    one.run(3s);
-    CHECK(one.offers > 0);
+TEST_CASE("a voter whose disk has failed does not offer itself as a spare") {
+    // Guards against a failed voter that is never replaced although a healthy spare exists. A
+    // replaced voter whose disk failed writes offered itself again, was chosen first because of its
+    // name, could not store the log, was cancelled after the timeout, and was chosen again.
+    voter_fixture fixture({"a:1", "b:1", "c:1"});
+    fixture.run(1s);
+    CHECK(fixture.offers > 0);
+    fixture.disk.set_fault(fake_storage::fault::full);
+    fixture.voter->core().receive("b:1", append_request{.term = 9}, {fixture.now, 0});
+    REQUIRE(fixture.role() == replica::role::failed);
+    fixture.offers = 0;
+    fixture.run(5s);
+    CHECK(fixture.offers == 0);
+    fixture.disk.set_fault(fake_storage::fault::none);
+    fixture.run(3s);
+    CHECK(fixture.offers > 0);
 }
--- a/tests/coordination/replica_test.cpp
+++ b/tests/coordination/replica_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr instant start(1000s);
 
-/// A leader among three voters, with `entries` entries that nobody else has.
+/// A leader among three voters, with `entries` entries that are not replicated yet.
 struct leader_fixture {
     explicit leader_fixture(std::size_t entries) {
         std::string reason;
@@ -50,7 +50,7 @@
     instant now = start;
 };
 
-/// Counts the syncs, so that a test can let each of them take time.
+/// Counts the syncs, so that a test can simulate a duration for each.
 class counting_storage final : public storage {
 public:
     std::optional<std::vector<std::string>> list() override { return m_disk.list(); }
@@ -78,21 +78,21 @@
     int m_syncs = 0;
 };
 
-/// Three voters in virtual time, each on one thread that stands still while its disk syncs. What is
-/// sent to it meanwhile waits, and what it has to send goes out when the sync is done.
+/// Three voters in virtual time, each on one thread that blocks while its disk syncs. Incoming
+/// messages are queued meanwhile, and outgoing ones are sent when the sync is done.
 class voters_with_slow_disks {
 public:
     voters_with_slow_disks(duration sync_time, std::uint64_t seed) : m_sync_time(sync_time) {
         for (std::size_t i = 0; i < m_voters.size(); ++i) {
             std::string reason;
-            place &here = m_voters[i];
-            here.log.emplace(*durable_log::open(here.disk, reason));
+            simulated_voter &current = m_voters[i];
+            current.log.emplace(*durable_log::open(current.disk, reason));
             replica_options options;
             options.self = name_of(i);
             options.initial.voters = {name_of(0), name_of(1), name_of(2)};
             options.seed = seed * m_voters.size() + i;
-            here.voter.emplace(options, *here.log, m_now);
-            here.free_at = m_now;
+            current.voter.emplace(options, *current.log, m_now);
+            current.free_at = m_now;
         }
     }
 
@@ -103,7 +103,7 @@
             }
         }
     }
-    /// The voter that leads and whose term has begun, if there is one.
+    /// Index of the leader that has committed the first entry of its term, if any.
     std::optional<std::size_t> leader() const {
         for (std::size_t i = 0; i < m_voters.size(); ++i) {
             const replica &voter = *m_voters[i].voter;
@@ -118,16 +118,16 @@
     void kill(std::size_t i) { m_voters[i].alive = false; }
 
 private:
-    struct letter {
+    struct queued_message {
         instant at{};
         node_address from;
         message body;
     };
-    struct place {
+    struct simulated_voter {
         counting_storage disk;
         std::optional<durable_log> log;
         std::optional<replica> voter;
-        std::deque<letter> inbox;
+        std::deque<queued_message> inbox;
         instant free_at{};
         instant tick_at{};
         bool alive = true;
@@ -136,42 +136,43 @@
     static node_address name_of(std::size_t i) { return std::string(1, char('a' + i)) + ":1"; }
 
     void step(std::size_t i) {
-        place &here = m_voters[i];
-        while (here.alive && here.free_at <= m_now) {
-            const auto next = std::find_if(here.inbox.begin(), here.inbox.end(),
-                                           [&](const letter &item) { return item.at <= m_now; });
-            if (here.tick_at <= m_now) {
-                here.tick_at = m_now + 10ms;
-                here.voter->tick(m_now);
-            } else if (next != here.inbox.end()) {
-                const letter read = std::move(*next);
-                here.inbox.erase(next);
-                here.voter->receive(read.from, read.body, m_now);
+        simulated_voter &current = m_voters[i];
+        while (current.alive && current.free_at <= m_now) {
+            const auto next =
+                std::find_if(current.inbox.begin(), current.inbox.end(),
+                             [&](const queued_message &item) { return item.at <= m_now; });
+            if (current.tick_at <= m_now) {
+                current.tick_at = m_now + 10ms;
+                current.voter->tick(m_now);
+            } else if (next != current.inbox.end()) {
+                const queued_message received = std::move(*next);
+                current.inbox.erase(next);
+                current.voter->receive(received.from, received.body, m_now);
             } else {
                 return;
             }
-            here.voter->flush(m_now);
-            here.free_at = m_now + here.disk.take_syncs() * m_sync_time;
-            for (outgoing &item : here.voter->take_outgoing()) {
-                place &to = m_voters[static_cast<std::size_t>(item.to[0] - 'a')];
-                to.inbox.push_back({here.free_at + 1ms, name_of(i), std::move(item.body)});
+            current.voter->flush(m_now);
+            current.free_at = m_now + current.disk.take_syncs() * m_sync_time;
+            for (outgoing &item : current.voter->take_outgoing()) {
+                simulated_voter &to = m_voters[static_cast<std::size_t>(item.to[0] - 'a')];
+                to.inbox.push_back({current.free_at + 1ms, name_of(i), std::move(item.body)});
             }
         }
     }
 
     duration m_sync_time;
     instant m_now = start;
-    std::array<place, 3> m_voters;
+    std::array<simulated_voter, 3> m_voters;
 };
 
 } // namespace
 
-TEST_CASE("voters whose disks are slow elect a leader and keep it") {
-    // A cluster did not get ready within 30 s, and a node that was started again had no lease for
-    // 20 s, while syncs on the machine's disk took from 0.5 to 3.2 s. With 200 ms more for each
-    // sync the voters were candidates of 48 terms in 24 s and none ever led: a vote took two syncs
-    // one after the other, a voter took the time of its own syncs for silence of the others, and so
-    // it stood for the next term before it had read the votes for the last.
+TEST_CASE("voters with slow disks elect a leader and keep it") {
+    // With syncs of 0.5 to 3.2 s a cluster was not ready within 30 s, and a restarted node had no
+    // lease for 20 s. With 200 ms added to each sync the voters went through 48 terms in 24 s
+    // without a leader. A vote took two syncs in sequence, and a voter counted the time of its own
+    // syncs as lost contact, so it started the next election before it had read the votes of the
+    // last.
     for (const duration sync_time : {duration(50ms), duration(100ms), duration(200ms)}) {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             CAPTURE(std::chrono::duration_cast<std::chrono::milliseconds>(sync_time).count());
@@ -196,10 +197,10 @@
     }
 }
 
-TEST_CASE("a leader is kept though each sync takes longer than the election timeout") {
-    // Voters elected a leader and lost it with the next entry that it wrote: it sends nothing while
-    // its disk syncs, and its followers stand for election after 300 to 600 ms. Of four clusters of
-    // real processes whose syncs took 300 or 400 ms, three were not ready within 30 s.
+TEST_CASE("a leader is kept although each sync takes longer than the election timeout") {
+    // Guards against a leader that is replaced when it writes its next entry: it sends nothing
+    // while its disk syncs, and its followers start an election after 300 to 600 ms. Of four
+    // clusters of real processes with syncs of 300 or 400 ms, three were not ready within 30 s.
     for (const duration sync_time : {duration(400ms), duration(1000ms)}) {
         for (std::uint64_t seed = 1; seed <= 20; ++seed) {
             CAPTURE(std::chrono::duration_cast<std::chrono::milliseconds>(sync_time).count());
@@ -220,9 +221,9 @@
     }
 }
 
-TEST_CASE("a disk that is fast again shortens the wait for an election") {
-    // Guards against a voter that keeps the patience it had while its disk was slow: the loss of a
-    // leader would cost seconds for good.
+TEST_CASE("the election timeout shrinks again when a slow disk recovers") {
+    // Guards against a voter that keeps the extended timeout of a slow disk: each loss of a leader
+    // would then cost seconds.
     voters_with_slow_disks voters(1000ms, 1);
     voters.run(20s);
     REQUIRE(voters.leader());
@@ -238,12 +239,11 @@
     CHECK(voters.leader());
 }
 
-TEST_CASE("refusals that are under way together do not each bring the whole log") {
-    // Symptom: a leader used all of its memory while links to a failure domain lost packets.
-    // Sequence: a connection was lost with the entries sent over it. Heartbeats went on and each
-    // was refused, since the entries before it were missing. Refusals came back in bunches, late.
-    // Cause: each refusal set the leader back and made it send all entries again, also when it had
-    // just done so, and a slow link kept every copy in the leader's queue.
+TEST_CASE("concurrent rejections do not each trigger a resend of the whole log") {
+    // Guards against a leader that runs out of memory while links to a failure domain lose packets.
+    // A connection was lost together with the entries sent over it, so each further heartbeat was
+    // rejected, and the rejections arrived late and in bursts. For each the leader sent all entries
+    // again, even right after a resend, and a slow link kept every copy in its send queue.
     leader_fixture leader(200);
     for (int i = 0; i < 20; ++i) {
         leader.now += 5ms;
@@ -254,18 +254,18 @@
     CHECK(leader.entries_sent_to("b:1") <= 2 * 201);
 }
 
-TEST_CASE("entries that were lost on their way are sent again after a while") {
+TEST_CASE("entries lost in transit are resent after the resend interval") {
     leader_fixture leader(20);
-    const auto refuse = [&] {
+    const auto reject = [&] {
         leader.voter->receive("b:1", append_reply{.term = 1, .accepted = false, .match_index = 0},
                               leader.now);
     };
-    refuse();
+    reject();
     CHECK(leader.entries_sent_to("b:1") == 21);
-    leader.now += 1s; // that message was lost too
+    leader.now += 1s; // the resent message is lost too
     leader.voter->receive("c:1", append_reply{.term = 1, .accepted = true, .match_index = 21},
                           leader.now);
     leader.voter->tick(leader.now);
-    refuse();
+    reject();
     CHECK(leader.entries_sent_to("b:1") >= 21);
 }
--- a/tests/coordination/routing_history_test.cpp
+++ b/tests/coordination/routing_history_test.cpp
@@ -23,7 +23,7 @@
     return routing;
 }
 
-std::optional<routing_table> follow(const routing_table &held, const std::string &packed) {
+std::optional<routing_table> apply_packed(const routing_table &held, const std::string &packed) {
     std::string reason;
     const auto text = unpack(packed, 1U << 24U);
     const auto delta = text ? decode_delta(*text, reason) : std::nullopt;
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("a node is told what it lacks, whatever it has") {
+TEST_CASE("a node at any version receives a delta to the current version") {
     routing_history history;
     std::vector<routing_table> routings{{}};
     for (std::uint64_t i = 1; i <= 50; ++i) {
@@ -42,34 +42,34 @@
     const routing_table &current = routings.back();
     for (const routing_table &held : routings) {
         if (held.version != current.version) {
-            CHECK(follow(held, history.packed_since(held.version, current)) == current);
+            CHECK(apply_packed(held, history.packed_since(held.version, current)) == current);
         }
     }
-    // One changed row travels as one row.
+    // A single changed route is sent as a small delta.
     CHECK(history.packed_since(49, current).size() * 5 < history.packed_since(1, current).size());
 }
 
-TEST_CASE("a history with a gap, or none at all, tells the whole routing table") {
+TEST_CASE("a history that is empty or has a gap yields the full routing table") {
     routing_history history;
     const routing_table current = routing_of(9, 5);
-    CHECK(follow(routing_of(4, 2), history.packed_since(4, current)) == current);
+    CHECK(apply_packed(routing_of(4, 2), history.packed_since(4, current)) == current);
     history.record(encode(difference(routing_of(4, 2), routing_of(5, 2))));
     history.record(encode(difference(routing_of(7, 2), current)));
-    CHECK(follow(routing_of(4, 2), history.packed_since(4, current)) == current);
+    CHECK(apply_packed(routing_of(4, 2), history.packed_since(4, current)) == current);
     history.record("no delta");
-    CHECK(follow(routing_of(7, 2), history.packed_since(7, current)) == current);
+    CHECK(apply_packed(routing_of(7, 2), history.packed_since(7, current)) == current);
 }
 
-TEST_CASE("a routing table on its way over a slow link is not sent with each renewal") {
-    // Symptom: voters were killed at their memory limit and every node missed changes. Sequence:
-    // 1,400 routes were added; each of a hundred nodes renewed several times before its copy had
-    // come through its link. Cause: each renewal was answered with one more copy.
+TEST_CASE("a routing table in transit over a slow link is not resent with each renewal") {
+    // Guards against voters that exceed their memory limit and nodes that miss changes. After 1,400
+    // routes were added, a hundred nodes each renewed several times before the table had passed
+    // their links, and each renewal was answered with another copy.
     node_report node;
     const auto at = [](duration time) { return moment{instant(1000s) + time, 0}; };
     CHECK(node.routes_due(3, 4, at(0s)));
     CHECK_FALSE(node.routes_due(3, 4, at(300ms)));
     CHECK_FALSE(node.routes_due(3, 4, at(600ms)));
-    CHECK(node.routes_due(3, 4, at(1s))); // it may have been lost
+    CHECK(node.routes_due(3, 4, at(1s))); // the previous copy may have been lost
     CHECK(node.routes_due(3, 5, at(1100ms)));
-    CHECK(node.routes_due(0, 5, at(1200ms))); // the node has started anew
+    CHECK(node.routes_due(0, 5, at(1200ms))); // the node has restarted
 }
--- a/tests/coordination/stalled_leader_test.cpp
+++ b/tests/coordination/stalled_leader_test.cpp
@@ -12,7 +12,7 @@
 constexpr duration tick_interval = 10ms;
 constexpr const char *node = "n:1";
 
-/// A leader by itself, and a node that renews the lease of its target every 200 ms.
+/// A single-voter leader, and a node that renews the lease of its target every 200 ms.
 class leader_with_node {
 public:
     leader_with_node() {
@@ -42,7 +42,7 @@
             take_answers();
         }
     }
-    /// Nothing is done here for that time; the node goes on.
+    /// Blocks the leader for `time`, while the node keeps running.
     void stall(duration time) { m_now += time; }
     void lose_node() { m_renew_at = instant::max(); }
     bool registered() {
@@ -87,26 +87,25 @@
 
 } // namespace
 
-TEST_CASE("a leader that was stalled hears its nodes before it ends their leases") {
-    // Symptom: with syncs of half a second nodes were never ready. Sequence: the leader waited for
-    // its disk; the renewals that came meanwhile waited too; its first step afterwards found the
-    // leases over and ended the registrations. Cause: leases were ended before the renewals that
-    // were there already had been read.
-    leader_with_node one;
-    one.stall(1500ms);
-    one.run(100ms);
-    CHECK(one.registered());
-    one.run(2s);
-    CHECK(one.registered());
+TEST_CASE("a leader processes pending renewals after a stall before it expires leases") {
+    // Guards against nodes that never get ready with syncs of half a second. While the leader
+    // waited for its disk, renewals queued up. Its first step afterwards expired the leases and
+    // ended the registrations before it had read the queued renewals.
+    leader_with_node cluster;
+    cluster.stall(1500ms);
+    cluster.run(100ms);
+    CHECK(cluster.registered());
+    cluster.run(2s);
+    CHECK(cluster.registered());
 }
 
-TEST_CASE("a target that is lost during stalls is not waited for as long as they go on") {
-    leader_with_node one;
-    one.lose_node();
+TEST_CASE("a target lost during repeated stalls is removed although the stalls continue") {
+    leader_with_node cluster;
+    cluster.lose_node();
     for (int i = 0; i < 8; ++i) {
-        one.stall(400ms);
-        one.run(10ms);
+        cluster.stall(400ms);
+        cluster.run(10ms);
     }
-    one.run(10ms);
-    CHECK_FALSE(one.registered());
+    cluster.run(10ms);
+    CHECK_FALSE(cluster.registered());
 }
