--- a/tests/coordination/voter_roster_test.cpp
+++ b/tests/coordination/voter_roster_test.cpp
@@ -35,8 +35,7 @@
     CHECK_FALSE(roster.next_change(three, "a:1#founder", no_contact_lost, start + 5s));
 }
 
-TEST_CASE(
-    "a voter that restarts with an empty disk gets a new identity that replaces the old one") {
+TEST_CASE("a voter that restarts with an empty disk replaces its old identity") {
     // Guards against the loss of an acknowledged change. Three of five voters stored it, two of
     // these restarted with empty disks under their old identities, and together with the two voters
     // that never had it they elected a leader without it.
