--- a/src/coordination/control_core.cpp
+++ b/src/coordination/control_core.cpp
@@ -434,7 +434,7 @@
     node.heard = at.now;
     const bool routes_current = request.routes_version == m_state.routes().version;
     if (!routes_current && node.routes_due(request.routes_version, m_state.routes().version, at)) {
-        reply.routes = m_routes.packed_since(request.routes_version, m_state.routes());
+        reply.routes = m_routes.compressed_since(request.routes_version, m_state.routes());
     }
     const bool current = reply.table_csv.empty() && routes_current;
     if (request.has_target) {
--- a/src/coordination/routing_history.cpp
+++ b/src/coordination/routing_history.cpp
@@ -11,7 +11,7 @@
 /// Changes that a node may miss before it is sent the full routing table: more than occur within
 /// the one or two seconds in which a node regains contact.
 constexpr std::size_t max_deltas = 32;
-constexpr std::size_t max_cached_packs = 32;
+constexpr std::size_t max_cached_deltas = 32;
 
 } // namespace
 
@@ -31,16 +31,16 @@
     }
 }
 
-const std::string &routing_history::packed_since(std::uint64_t version,
-                                                 const routing_table &current) {
-    if (m_packed_version != current.version || m_packed.size() >= max_cached_packs) {
-        m_packed.clear();
-        m_packed_version = current.version;
+const std::string &routing_history::compressed_since(std::uint64_t version,
+                                                     const routing_table &current) {
+    if (m_compressed_version != current.version || m_compressed.size() >= max_cached_deltas) {
+        m_compressed.clear();
+        m_compressed_version = current.version;
     }
-    const auto found = m_packed.find(version);
-    return found != m_packed.end()
+    const auto found = m_compressed.find(version);
+    return found != m_compressed.end()
                ? found->second
-               : m_packed.emplace(version, pack(encode(delta_since(version, current))))
+               : m_compressed.emplace(version, pack(encode(delta_since(version, current))))
                      .first->second;
 }
 
--- a/tests/coordination/routing_history_test.cpp
+++ b/tests/coordination/routing_history_test.cpp
@@ -23,9 +23,10 @@
     return routing;
 }
 
-std::optional<routing_table> apply_packed(const routing_table &held, const std::string &packed) {
+std::optional<routing_table> apply_compressed(const routing_table &held,
+                                              const std::string &compressed) {
     std::string reason;
-    const auto text = unpack(packed, 1U << 24U);
+    const auto text = unpack(compressed, 1U << 24U);
     const auto delta = text ? decode_delta(*text, reason) : std::nullopt;
     return delta ? apply(held, *delta) : std::nullopt;
 }
@@ -42,22 +43,24 @@
     const routing_table &current = routings.back();
     for (const routing_table &held : routings) {
         if (held.version != current.version) {
-            CHECK(apply_packed(held, history.packed_since(held.version, current)) == current);
+            CHECK(apply_compressed(held, history.compressed_since(held.version, current)) ==
+                  current);
         }
     }
     // A single changed route is sent as a small delta.
-    CHECK(history.packed_since(49, current).size() * 5 < history.packed_since(1, current).size());
+    CHECK(history.compressed_since(49, current).size() * 5 <
+          history.compressed_since(1, current).size());
 }
 
 TEST_CASE("a history that is empty or has a gap yields the full routing table") {
     routing_history history;
     const routing_table current = routing_of(9, 5);
-    CHECK(apply_packed(routing_of(4, 2), history.packed_since(4, current)) == current);
+    CHECK(apply_compressed(routing_of(4, 2), history.compressed_since(4, current)) == current);
     history.record(encode(difference(routing_of(4, 2), routing_of(5, 2))));
     history.record(encode(difference(routing_of(7, 2), current)));
-    CHECK(apply_packed(routing_of(4, 2), history.packed_since(4, current)) == current);
+    CHECK(apply_compressed(routing_of(4, 2), history.compressed_since(4, current)) == current);
     history.record("no delta");
-    CHECK(apply_packed(routing_of(7, 2), history.packed_since(7, current)) == current);
+    CHECK(apply_compressed(routing_of(7, 2), history.compressed_since(7, current)) == current);
 }
 
 TEST_CASE("a routing table in transit over a slow link is not resent with each renewal") {
