--- a/include/peppertack/coordination/control_core.hpp
+++ b/include/peppertack/coordination/control_core.hpp
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "peppertack/coordination/lease_book.hpp"
-#include "peppertack/coordination/load_book.hpp"
-#include "peppertack/coordination/map_updates.hpp"
+#include "peppertack/coordination/lease_registry.hpp"
+#include "peppertack/coordination/load_tracker.hpp"
+#include "peppertack/coordination/map_update_cache.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/coordination/node_report.hpp"
 #include "peppertack/coordination/placement.hpp"
@@ -31,58 +31,63 @@
     placement_options placement;
     duration placement_interval = std::chrono::milliseconds(50);
     duration balance_interval = std::chrono::seconds(1);
-    duration gathering_time = std::chrono::milliseconds(500); ///< for a service's first targets
+    /// Delay before the first placement of a service, so that its first targets can register.
+    duration initial_placement_delay = std::chrono::milliseconds(500);
     duration key_retention = std::chrono::minutes(10);
-    /// Then one end of a target is risked to learn whether a request still causes it.
+    /// After this time a quarantined request may run once more, at the risk of one target crash, to
+    /// find out whether it still crashes targets.
     duration quarantine = std::chrono::hours(24);
-    /// Without a step for so long this voter was stalled, by its disk or as a process.
-    duration stall = std::chrono::milliseconds(150);
-    /// After a stall renewals are heard for so long before a lease is taken as ended.
-    duration patience_after_stall = std::chrono::milliseconds(300);
+    /// A longer gap between two ticks counts as a stall of this voter (disk or process).
+    duration stall_threshold = std::chrono::milliseconds(150);
+    /// After a stall no lease expires for this long, so that queued renewals are processed first.
+    duration expiry_delay_after_stall = std::chrono::milliseconds(300);
     std::uint64_t entries_per_snapshot = 10'000;
-    std::size_t push_to_all_below = 200; ///< with more nodes, only those concerned are pushed to
-    std::size_t push_items = 256; ///< larger changes are fetched by the renewals, spread over time
-    std::size_t items_per_update = 512;   ///< the rest follows with the next renewals
-    std::size_t losses_per_decision = 16; ///< keeps what one decision touches within an update
+    std::size_t min_nodes_for_selective_push =
+        200; ///< from this many nodes on, pushes go only to affected ones
+    std::size_t max_push_items =
+        256; ///< larger changes are delivered with renewal replies, spread over time
+    std::size_t max_items_per_update = 512; ///< the rest follows with the next renewals
+    std::size_t max_expirations_per_command =
+        16; ///< so that the changes of one command fit into an update
     voter_roster::options roster;
 };
 
-/// Answer to a command that an operator submitted.
+/// Result of a command that an operator submitted.
 struct submit_answer {
     std::uint64_t ticket = 0;
     error_kind error = error_kind::none;
-    bool certain = true; ///< false: leadership was lost on the way; it may still take effect
+    bool certain = true; ///< false: leadership was lost before commit; it may still take effect
     std::uint64_t version = 0;
     std::optional<change_answer> change;
 };
 
-/// The control part of one voter: replicates decisions and, while it leads, makes them. Grants
-/// leases, gives every range one owner, drives planned stops, records why. Deterministic; not
-/// thread safe: it belongs to the control thread.
+/// The control plane of one voter: replicates decisions and, while it leads, makes them. Grants
+/// leases, assigns every range one owner, runs planned stops and records the cause of each
+/// decision. Deterministic. Not thread safe; used on the control thread only.
 class control_core {
 public:
     using audit_sink = std::function<bool(const audit_record &)>;
 
     /// Precondition: `log` outlives the object. `audit` is called for each decision as it is
-    /// applied and may see the same record again after a restart. Yields nothing, with the reason,
-    /// if the log's snapshot can't be read.
+    /// applied and may get the same record again after a restart. Returns null and sets `reason` if
+    /// the log's snapshot can't be decoded.
     static std::unique_ptr<control_core> make(control_options options, durable_log &log,
                                               audit_sink audit, moment at, std::string &reason);
 
     void tick(moment at);
     void receive(const node_address &from, const message &body, moment at);
-    /// To be called after each write of a log that writes behind, whether it succeeded or not.
+    /// Must be called after each write of a write-behind log, whether it succeeded or not.
     void note_written(moment at);
 
-    /// Proposes a command. The answer comes by `take_answers` under the yielded ticket.
+    /// Proposes a command. `take_answers` delivers the result under the returned ticket.
     std::uint64_t submit(command value, moment at);
-    /// Asks for proof that this voter leads; the answer, without an error once a quorum has
-    /// confirmed it, comes by `take_answers`. The state read in that same step holds all that was
-    /// acknowledged.
-    std::uint64_t prove_leadership(moment at);
-    /// Whether as many voters take part as the promised tolerance of losses needs.
+    /// Starts a quorum round that confirms this voter as leader (a read barrier). `take_answers`
+    /// delivers the result under the returned ticket, without an error once a quorum has confirmed.
+    /// The state read in that same step contains every acknowledged command.
+    std::uint64_t confirm_leadership(moment at);
+    /// Whether there are as many voters as the configured fault tolerance requires.
     bool enough_voters() const;
-    /// This process is about to end: a spare voter may take its place at once.
+    /// Announces that this process is about to end, so that a spare voter can replace it at once.
     void announce_leaving(moment at);
     /// Replaces a voter; see `replica::replace_voter`.
     bool replace_voter(const node_address &learner, const std::optional<node_address> &replaces,
@@ -91,59 +96,61 @@
     std::vector<outgoing> take_outgoing();
     std::vector<submit_answer> take_answers();
 
-    /// Leads and knows all earlier decisions.
+    /// Whether this voter leads and has applied all decisions of earlier terms.
     bool established() const { return m_established; }
     const control_state &state() const { return m_state; }
     const replica &replication() const { return *m_replica; }
     const std::map<node_address, node_report> &nodes() const { return m_nodes; }
-    const lease_book &leases() const { return m_leases; }
-    /// Highest measured load over weight share among a service's targets; 1 is perfect.
+    const lease_registry &leases() const { return m_leases; }
+    /// Highest ratio of load share to weight share among a service's targets; 1 is perfect balance.
     /// Precondition: the service has ranges.
     double imbalance_of(const std::string &service) const;
-    /// Ranges that changed owner after their first, since this process started.
+    /// Number of ownership changes since this process started, without each range's first grant.
     std::uint64_t owner_changes(const std::string &service) const;
 
 private:
     control_core(control_options options, durable_log &log, audit_sink audit, instant now);
 
-    struct waiting_renewal {
+    struct pending_renewal {
         std::uint64_t round = 0;
         node_address from;
         renew_request request;
     };
-    void settle(moment at);
-    void follow_roster(moment at);
-    void offer_to_join(moment at);
+    void run_pending_work(moment at);
+    void apply_roster_advice(moment at);
+    void request_join_if_due(moment at);
     void send_to_contacts(const join_request &request);
-    void take_join(const join_request &request, moment at);
-    void answer_proofs();
-    void pass_renewal_on(const node_address &from, const renew_request &request);
+    void handle_join(const join_request &request, moment at);
+    void complete_confirmations();
+    void relay_renewal(const node_address &from, const renew_request &request);
     void apply_committed();
     void apply_entry(const log_entry &entry);
     void update_leadership(moment at);
     void answer_renewals(moment at);
-    void answer_renewal(const waiting_renewal &waiting, moment at);
-    void take_reports(const renew_request &request, const target_record &record, moment at);
-    void take_crashes(const renew_request &request, const node_address &from, renew_reply &reply,
-                      moment at);
-    void end_quarantines(moment at);
-    void take_loads(const renew_request &request, const target_record &record, moment at);
+    void answer_renewal(const pending_renewal &pending, moment at);
+    void handle_reports(const renew_request &request, const target_record &record, moment at);
+    void handle_crash_reports(const renew_request &request, const node_address &from,
+                              renew_reply &reply, moment at);
+    void release_expired_quarantines(moment at);
+    void record_loads(const renew_request &request, const target_record &record, moment at);
     void register_node(const renew_request &request, const node_address &from, moment at);
     const target_record *registration_of(const renew_request &request,
                                          const node_address &from) const;
     void push_updates();
-    void note_stall(instant now);
-    void end_leases(moment at);
-    void place(moment at);
+    void detect_stall(instant now);
+    void expire_leases(moment at);
+    void run_placement(moment at);
     std::set<std::string> services_to_place(bool balance_due) const;
     void place_service(const std::string &service, moment at, bool balance_due);
-    void choose_standbys(const std::string &service, moment at);
-    void finish_stops(const std::string &service, moment at);
-    void close_memory_windows(moment at);
+    void assign_standbys(const std::string &service, moment at);
+    void retire_drained_targets(const std::string &service, moment at);
+    void end_expired_key_retention(moment at);
     placement_view view_of(const std::string &service) const;
-    void split(const std::string &service, const std::vector<std::uint64_t> &cuts, moment at);
-    target_number standby_for(const target_record &record,
-                              const std::map<target_number, std::size_t> &duties) const;
+    void split(const std::string &service, const std::vector<std::uint64_t> &split_points,
+               moment at);
+    target_number
+    best_standby_for(const target_record &record,
+                     const std::map<target_number, std::size_t> &standby_counts) const;
     void propose(moment at, std::string actor, std::string cause, command_body body);
     void compact_if_due();
     void count_owner_changes(const command &value);
@@ -152,40 +159,41 @@
     std::unique_ptr<replica> m_replica;
     control_state m_state;
     audit_sink m_audit;
-    lease_book m_leases;
+    lease_registry m_leases;
     greedy_placement m_placement;
     voter_roster m_roster;
-    std::deque<std::pair<std::uint64_t, std::uint64_t>> m_proofs; ///< round, ticket
+    std::deque<std::pair<std::uint64_t, std::uint64_t>> m_confirmations; ///< round, ticket
     routing_history m_routes;
     bool m_established = false;
-    std::uint64_t m_last_proposed = 0;
-    std::uint64_t m_last_compacted = 0;
-    std::uint64_t m_last_pushed = 0;
-    std::uint64_t m_last_placed = 0;  ///< state version that decisions have been made on
-    std::uint64_t m_leases_known = 0; ///< state version whose targets all have a lease entry
+    std::uint64_t m_last_proposed_index = 0;
+    std::uint64_t m_compacted_version = 0;
+    std::uint64_t m_pushed_version = 0;
+    std::uint64_t m_placed_version = 0; ///< state version that the last placement used
+    std::uint64_t m_leases_version = 0; ///< all targets of this state version have a lease entry
     std::uint64_t m_next_ticket = 1;
     instant m_now{};
-    instant m_ticked_at{};     ///< zero before the first time
-    instant m_patient_until{}; ///< leases are not ended until then
-    instant m_next_patience{}; ///< stalls before it count for nothing
-    instant m_last_joined{};
-    instant m_place_at{};
-    instant m_balance_at{};
+    instant m_last_tick{};              ///< zero before the first tick
+    instant m_expiry_suspended_until{}; ///< no lease expires before this time
+    instant m_next_expiry_delay{};      ///< stalls before this time extend no lease
+    instant m_last_registration{};
+    instant m_next_placement{};
+    instant m_next_balance{};
     std::map<std::uint64_t, std::pair<std::uint64_t, std::uint64_t>>
-        m_tickets; ///< index: term, ticket
+        m_tickets; ///< term and ticket by log index
     std::vector<submit_answer> m_answers;
-    std::deque<waiting_renewal> m_renewals; ///< in order of their rounds
+    std::deque<pending_renewal> m_pending_renewals; ///< in order of their rounds
     std::map<node_address, node_report> m_nodes;
-    std::unordered_set<std::string> m_registering;
-    std::unordered_set<std::uint64_t> m_reporting; ///< ended lives that were proposed
-    load_book m_loads;
+    std::unordered_set<std::string> m_pending_registrations;
+    std::unordered_set<std::uint64_t>
+        m_pending_crash_reports; ///< ended incarnations already proposed as crashes
+    load_tracker m_load_tracker;
     std::unordered_map<std::string, std::uint64_t> m_owner_changes;
-    std::unordered_set<std::string> m_granted_once; ///< services whose first grants are over
+    std::unordered_set<std::string> m_services_granted; ///< services whose first grant was applied
     std::vector<outgoing> m_outgoing;
-    map_updates m_updates;
+    map_update_cache m_updates;
 };
 
-/// Whether a message is meant for the control part of a process; else for its node part. Thread
+/// Whether a message is addressed to the control plane of a process rather than to its node. Thread
 /// safe.
 bool is_for_control(const message &body);
 
--- a/include/peppertack/coordination/range_owner.hpp
+++ b/include/peppertack/coordination/range_owner.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
 #include "peppertack/coordination/admission.hpp"
-#include "peppertack/coordination/crash_watch.hpp"
+#include "peppertack/coordination/crash_reporter.hpp"
 #include "peppertack/coordination/hot_key_counter.hpp"
-#include "peppertack/coordination/key_memory.hpp"
+#include "peppertack/coordination/idempotency_store.hpp"
 #include "peppertack/coordination/lease_client.hpp"
 #include "peppertack/coordination/messages.hpp"
 #include "peppertack/coordination/node_options.hpp"
-#include "peppertack/coordination/standby_link.hpp"
+#include "peppertack/coordination/standby_replicator.hpp"
 
 #include <cstdint>
 #include <deque>
@@ -20,9 +20,9 @@
 
 namespace peppertack {
 
-/// The owner's side of a node: runs requests for the ranges its target owns, each at most once, and
-/// hands ranges over. Answers to local requests go to a callback, those to peers as messages. Not
-/// thread safe.
+/// Owner side of a node: executes requests for the ranges that the local target owns, each at most
+/// once, and hands ranges over on planned moves. Answers to local requests are passed to a
+/// callback, answers to peers are sent as messages. Not thread safe.
 class range_owner {
 public:
     using local_reply = std::function<void(const request_id &, caller_response, moment)>;
@@ -30,12 +30,13 @@
     range_owner(const node_options &options, lease_client &lease, node_effects &effects,
                 node_counters &counters, local_reply reply);
 
-    /// Takes a request from a peer (`from`) or from this node itself. `owner` is the registration
-    /// the sender takes for the owner.
+    /// Accepts a request from a peer (`from`) or from this node itself (`from` empty). `owner` is
+    /// the registration that the sender assumes to own the key.
     void serve(const request_id &id, const std::optional<node_address> &from, target_number owner,
                caller_request request, moment at);
     void call_finished(std::uint64_t call, call_result result, moment at);
-    /// The caller does not want the answer any more. What has not been started never will be.
+    /// Cancels a request whose caller no longer needs the answer. A request that has not started is
+    /// never started; a running call is cancelled.
     void cancel(const request_id &id, moment at);
 
     void receive(const node_address &from, const fate_query &query, moment at);
@@ -48,21 +49,24 @@
     void map_changed(moment at);
     void table_changed();
     void registration_changed(moment at);
-    /// The target is gone or its lease was given up: refuse what waits, cancel what runs.
+    /// Refuses all waiting requests and cancels running ones; for a target that is gone or whose
+    /// lease was given up.
     void stop_serving(moment at);
     void fill_report(renew_request &request, instant now);
-    /// The process of the target has ended by itself.
+    /// The target's process has ended unexpectedly.
     void target_ended(instant now);
-    /// Ends of targets that the leader has recorded.
-    void crashes_recorded(const std::vector<std::uint64_t> &lives) { m_crashes.recorded(lives); }
+    /// Target crashes that the leader has recorded.
+    void crashes_recorded(const std::vector<std::uint64_t> &incarnations) {
+        m_crashes.recorded(incarnations);
+    }
 
-    /// Whether a request for `hash` that came now would be taken: the range is owned, not on its
-    /// way to another, and the lease holds.
+    /// Whether a request for `hash` would be accepted now: the range is owned, is not moving, and
+    /// the lease is valid.
     bool serves(std::uint64_t hash, instant now) const;
     const admission &admitted() const { return m_admission; }
-    const key_memory &memory() const { return m_memory; }
+    const idempotency_store &memory() const { return m_memory; }
     std::size_t unfinished() const { return m_served.size(); }
-    std::size_t owned_ranges() const { return m_own.size(); }
+    std::size_t owned_ranges() const { return m_own_ranges.size(); }
     std::size_t standby_copies() const { return m_copies.size(); }
 
 private:
@@ -77,14 +81,15 @@
         instant deadline{};
         phase state = phase::queued;
         fencing_token token = 0;
-        target_number registration = no_target; ///< of the target that was given it
+        target_number registration = no_target; ///< registration that the request was sent to
         instant started{};
         bool keyed = false;
     };
-    /// What is kept of a request from a peer after its end; without a response it was barred.
+    /// Result of a finished request from a peer, kept to answer fate queries. Without a response
+    /// the request is barred: it is dropped if it still arrives.
     struct finished_request {
         std::optional<caller_response> response;
-        bool dropped = false; ///< it ran, but its answer is not held any more
+        bool dropped = false; ///< it was executed, but its answer was not stored
         instant at{};
         std::size_t bytes = 0;
     };
@@ -109,7 +114,7 @@
     };
     struct standby_copy {
         std::uint64_t last_sequence = 0;
-        key_memory keys;
+        idempotency_store keys;
         instant touched{};
     };
     struct handover_in {
@@ -128,21 +133,21 @@
     void start(std::uint64_t serial, moment at);
     void start_queued(moment at);
     void finish(std::uint64_t serial, caller_response response, moment at);
-    void settle_key(const served_request &request, const caller_response &response, moment at);
-    void forget_key(const served_request &request);
-    void wake_attached(const served_request &request, const caller_response &response, moment at);
+    void record_outcome(const served_request &request, const caller_response &response, moment at);
+    void erase_key(const served_request &request);
+    void finish_attached(const served_request &request, const caller_response &response, moment at);
     void keep_finished(const served_request &request, const caller_response &response, instant now);
     void expire_finished(instant now);
     void refuse_waiting(error_kind error, moment at);
     void expire_waiting(moment at);
-    void wake(const std::vector<standby_waiter> &waiters, moment at);
+    void release_waiters(const std::vector<standby_waiter> &waiters, moment at);
     void follow_standby(moment at);
     void rebuild_own_ranges();
     void step_releases(moment at);
-    bool busy(const own_range &range) const;
+    bool has_requests(const own_range &range) const;
     void hand_over(const own_range &range, release &state, moment at);
     void step_recalls(moment at);
-    void take_recalled(std::uint64_t first, std::vector<remembered_key> keys, moment at);
+    void store_recalled_keys(std::uint64_t first, std::vector<remembered_key> keys, moment at);
     void resume_recalling(moment at);
     bool recall_pending(const own_range &range) const;
     bool memory_lost(const own_range &range) const;
@@ -155,12 +160,12 @@
     node_counters &m_counters;
     local_reply m_reply;
     admission m_admission;
-    key_memory m_memory;
-    standby_link m_standby;
-    hot_key_counter m_hot;
-    crash_watch m_crashes;
+    idempotency_store m_memory;
+    standby_replicator m_standby;
+    hot_key_counter m_hot_keys;
+    crash_reporter m_crashes;
     target_number m_number = no_target;
-    std::vector<own_range> m_own; ///< sorted
+    std::vector<own_range> m_own_ranges; ///< sorted
     std::unordered_map<std::uint64_t, served_request> m_served;
     std::map<request_id, std::uint64_t> m_by_id;
     std::map<request_id, finished_request> m_finished;
--- a/include/peppertack/coordination/traffic_policy.hpp
+++ b/include/peppertack/coordination/traffic_policy.hpp
@@ -5,13 +5,13 @@
 
 namespace peppertack {
 
-/// The mechanisms that decide on load. All are on by default; one is switched off to measure what
-/// it is worth. Immutable once the traffic of a node has started.
+/// Switches of the load-dependent mechanisms. All are on by default; switching one off measures its
+/// effect. Immutable once a node serves traffic.
 struct traffic_policy {
     bool dependency_admission = true; ///< see `dependency_admission`
-    bool nested_calls_first = true;   ///< calls of running requests go before all else
-    bool retry_recognition = true;    ///< see `returning_callers`
-    bool equal_shares = true;         ///< see `recent_service`
+    bool nested_calls_first = true;   ///< nested calls go before all other requests
+    bool retry_recognition = true;    ///< see `retry_detector`
+    bool equal_shares = true;         ///< see `service_share_tracker`
     bool drain_standing = true;       ///< see `work_queue`
     bool two_choices = true;          ///< see `target_selector`
     bool times_by_route = true;       ///< see `target_selector`
@@ -21,7 +21,7 @@
     friend bool operator==(const traffic_policy &, const traffic_policy &) = default;
 };
 
-/// A mechanism and the name by which settings switch it off.
+/// A mechanism and its name in the settings.
 struct traffic_mechanism {
     std::string_view name;
     bool traffic_policy::*enabled = nullptr;
--- a/include/peppertack/transport/traffic/traffic_host.hpp
+++ b/include/peppertack/transport/traffic/traffic_host.hpp
@@ -3,7 +3,7 @@
 #include "peppertack/coordination/admission_level.hpp"
 #include "peppertack/coordination/dependency_admission.hpp"
 #include "peppertack/coordination/nested_call_detector.hpp"
-#include "peppertack/coordination/returning_callers.hpp"
+#include "peppertack/coordination/retry_detector.hpp"
 #include "peppertack/transport/http/http_client_pool.hpp"
 #include "peppertack/transport/http/http_server.hpp"
 #include "peppertack/transport/request_log.hpp"
@@ -82,11 +82,11 @@
     /// Which share of callers' requests that came here was taken.
     admission_meter &meter() { return m_meter; }
     /// Which share of direct requests to the local target was taken, by all who send them.
-    admission_board &board() { return m_board; }
+    admission_level_aggregator &board() { return m_board; }
     /// What the services that the local target calls leave room for.
     dependency_admission &dependencies() { return m_dependencies; }
     /// Callers that were refused here and told when to come back.
-    returning_callers &returning() { return m_returning; }
+    retry_detector &returning() { return m_returning; }
     void enter(timed_request *request) { m_requests.insert(request); }
     void leave(timed_request *request) { m_requests.erase(request); }
     /// Large bodies on their way to this node from others. Their senders wait to be asked, so that
@@ -131,9 +131,9 @@
     std::mt19937_64 m_random;
     nested_call_detector m_nested_calls;
     admission_meter m_meter;
-    admission_board m_board;
+    admission_level_aggregator m_board;
     dependency_admission m_dependencies;
-    returning_callers m_returning;
+    retry_detector m_returning;
     node_agent m_agent;
     hold_call_runner m_hold_calls;
     work_queue m_body_turns;
--- a/src/coordination/admission.cpp
+++ b/src/coordination/admission.cpp
@@ -7,9 +7,10 @@
 
 namespace {
 
-constexpr duration least_retry_after = std::chrono::milliseconds(50);
+constexpr duration min_retry_after = std::chrono::milliseconds(50);
 constexpr int smoothing = 8;
-/// A single key may hold this part of the queue, so that a hot one leaves room for the others.
+/// A single key may fill 1 / key_part_of_queue of the queue, so that a hot key leaves room for
+/// others.
 constexpr std::size_t key_part_of_queue = 2;
 
 } // namespace
@@ -28,13 +29,13 @@
     const auto own = m_by_key.find(request.key_hash);
     const std::size_t own_queued = own == m_by_key.end() ? 0 : own->second.size();
     const std::size_t own_limit = m_limits.queue / key_part_of_queue + 1;
-    // What can't finish in time would only take a slot from one that can.
+    // A request that can't finish before its deadline would only take a slot from one that can.
     const bool too_late = now + expected_wait() + m_service_time > request.deadline;
     if (m_queued >= m_limits.queue || own_queued >= own_limit || too_late) {
         return verdict::refused;
     }
     if (own_queued == 0) {
-        m_turns.push_back(request.key_hash);
+        m_key_order.push_back(request.key_hash);
     }
     m_by_key[request.key_hash].push_back(request);
     ++m_queued;
@@ -49,8 +50,8 @@
 
 std::optional<std::uint64_t> admission::next(instant now, std::vector<std::uint64_t> &expired) {
     while (m_queued > 0 && m_in_flight < m_limits.in_flight) {
-        const std::uint64_t key = m_turns.front();
-        m_turns.pop_front();
+        const std::uint64_t key = m_key_order.front();
+        m_key_order.pop_front();
         std::deque<item> &waiting = m_by_key[key];
         const item request = waiting.front();
         waiting.pop_front();
@@ -58,7 +59,7 @@
         if (waiting.empty()) {
             m_by_key.erase(key);
         } else {
-            m_turns.push_back(key);
+            m_key_order.push_back(key);
         }
         if (request.deadline <= now) {
             expired.push_back(request.request);
@@ -81,7 +82,7 @@
         waiting.erase(place);
         --m_queued;
         if (waiting.empty()) {
-            std::erase(m_turns, key);
+            std::erase(m_key_order, key);
             m_by_key.erase(key);
         }
         return true;
@@ -98,7 +99,7 @@
     }
     std::sort(result.begin(), result.end());
     m_by_key.clear();
-    m_turns.clear();
+    m_key_order.clear();
     m_queued = 0;
     return result;
 }
@@ -109,7 +110,7 @@
 }
 
 duration admission::retry_after() const {
-    return std::max(least_retry_after, expected_wait());
+    return std::max(min_retry_after, expected_wait());
 }
 
 } // namespace peppertack
--- a/src/coordination/hold_caller.cpp
+++ b/src/coordination/hold_call_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/hold_caller.hpp"
+#include "peppertack/coordination/hold_call_scheduler.hpp"
 
 #include "peppertack/coordination/planted_defects.hpp"
 #include "peppertack/state/key_hash.hpp"
@@ -10,30 +10,31 @@
 
 namespace {
 
-/// Two renewals that are lost in a row leave time for a third, also where the hold is short.
+/// After two consecutive lost renewals there is time for a third, even within a short hold.
 constexpr int renewals_in_hold = 4;
 
 } // namespace
 
-std::vector<hold_call> hold_caller::due(const lease_client &lease, instant alive_at, instant now) {
-    if (m_earlier_until == instant{}) {
-        m_earlier_until = now + m_options.earlier_hold;
+std::vector<hold_call> hold_call_scheduler::due(const lease_client &lease, instant last_heartbeat,
+                                                instant now) {
+    if (m_previous_process_until == instant{}) {
+        m_previous_process_until = now + m_options.previous_process_hold;
     }
-    forget_ended(now);
-    take_wanted(lease);
+    drop_ended_grants(now);
+    update_wanted(lease);
     std::vector<hold_call> calls;
     add_releases(calls, lease, now);
     if (lease.lease_valid(now)) {
-        add_grants(calls, alive_at, now);
+        add_grants(calls, last_heartbeat, now);
     }
     return calls;
 }
 
-/// Follows the map. A span that was cut, joined or moved is another one; what was granted for the
-/// old one stays in `m_granted`.
-void hold_caller::take_wanted(const lease_client &lease) {
+/// Updates the wanted spans from the map. A span that was split, joined or moved becomes a new one;
+/// grants of the old span stay in `m_granted`.
+void hold_call_scheduler::update_wanted(const lease_client &lease) {
     std::map<span_key, wanted> next;
-    for (const held_span &span : hold_keeper::wanted_spans(lease)) {
+    for (const held_span &span : hold_manager::wanted_spans(lease)) {
         const span_key key{span.from, span.token};
         const auto known = m_wanted.find(key);
         const bool same = known != m_wanted.end() && known->second.span == span;
@@ -42,30 +43,32 @@
     m_wanted = std::move(next);
 }
 
-void hold_caller::add_grants(std::vector<hold_call> &calls, instant alive_at, instant now) {
-    const bool silent = m_lost_row > 0 && alive_at + m_options.sign_of_life < now;
-    if (silent || stuck(now)) {
+void hold_call_scheduler::add_grants(std::vector<hold_call> &calls, instant last_heartbeat,
+                                     instant now) {
+    const bool silent =
+        m_consecutive_lost_grants > 0 && last_heartbeat + m_options.heartbeat_timeout < now;
+    if (silent || token_rejected(now)) {
         return;
     }
-    std::size_t stuck = 0;
+    std::size_t unanswered = 0;
     for (const auto &[id, item] : m_in_flight) {
         if (item.call.what == hold_call::kind::grant) {
             if (now < item.begun + m_options.stuck_after) {
-                return; // one at a time: they share a connection
+                return; // one at a time, since they share a connection
             }
-            ++stuck;
+            ++unanswered;
         }
     }
-    if (stuck >= m_options.most_stuck) {
+    if (unanswered >= m_options.max_stuck_grants) {
         return;
     }
     wanted *first = nullptr;
     for (auto &[key, item] : m_wanted) {
-        const bool ready = item.renew_at <= now && !item.refused_since &&
+        const bool ready = item.renew_at <= now && !item.token_refused_since &&
                            !grant_in_flight(item.span.from, item.span.to);
-        // Keys that nobody serves go before those that are only renewed.
-        if (ready && (first == nullptr || std::pair(item.given, item.renew_at) <
-                                              std::pair(first->given, first->renew_at))) {
+        // Keys without a holder come before renewals.
+        if (ready && (first == nullptr || std::pair(item.was_granted, item.renew_at) <
+                                              std::pair(first->was_granted, first->renew_at))) {
             first = &item;
         }
     }
@@ -74,8 +77,8 @@
     }
 }
 
-void hold_caller::add_releases(std::vector<hold_call> &calls, const lease_client &lease,
-                               instant now) {
+void hold_call_scheduler::add_releases(std::vector<hold_call> &calls, const lease_client &lease,
+                                       instant now) {
     std::map<std::pair<std::uint64_t, fencing_token>, releasing> current;
     for (const lease_client::own_range &range : lease.own_ranges()) {
         if (range.record.next == no_target) {
@@ -86,12 +89,12 @@
         if (const auto known = m_releasing.find(key); known != m_releasing.end()) {
             item = known->second;
         }
-        const held_span span = hold_keeper::span_of(range);
+        const held_span span = hold_manager::span_of(range);
         if (free(span.from, span.to, now)) {
-            m_keeper.note_released(range, item.handover);
+            m_manager.note_released(range, item.handover);
             continue;
         }
-        // A grant whose answer is awaited may reach the target after the release.
+        // A grant that is still unanswered may reach the target after the release.
         const bool must_call = !item.answered && item.call == 0 && item.retry_at <= now &&
                                !grant_in_flight(span.from, span.to);
         if (must_call) {
@@ -99,7 +102,7 @@
             item.call = calls.back().id;
         }
     }
-    // The end of a release whose range is not to move any more is of no interest.
+    // The result of a release whose move was cancelled is not needed.
     for (const auto &[key, item] : m_releasing) {
         if (current.count(key) == 0) {
             m_in_flight.erase(item.call);
@@ -109,18 +112,18 @@
     for (const auto &[key, item] : current) {
         moving.insert(key);
     }
-    m_keeper.keep_released(moving);
+    m_manager.keep_released(moving);
     m_releasing = std::move(current);
 }
 
-hold_call hold_caller::begin(hold_call::kind what, const held_span &span, instant now) {
+hold_call hold_call_scheduler::begin(hold_call::kind what, const held_span &span, instant now) {
     hold_call call{.id = ++m_last_id, .what = what, .span = span};
     m_in_flight[call.id] = {.call = call, .begun = now};
     return call;
 }
 
-std::optional<duration> hold_caller::write(std::uint64_t id, const lease_client &lease,
-                                           instant now) {
+std::optional<duration> hold_call_scheduler::write(std::uint64_t id, const lease_client &lease,
+                                                   instant now) {
     const auto found = m_in_flight.find(id);
     if (found == m_in_flight.end()) {
         return std::nullopt;
@@ -135,10 +138,11 @@
         return std::nullopt;
     }
     const instant from = g_defects.hold_from_decision ? item.begun : now;
-    // Without an answer the hold counts from the end of the wait for one.
-    const duration length =
-        std::min(m_keeper.length(lease, from + m_options.answer_limit, from), m_options.most_hold);
-    if (length < m_options.least_hold) {
+    // Without an answer, the target may read the grant as late as the answer timeout, so the length
+    // is counted from there.
+    const duration length = std::min(m_manager.length(lease, from + m_options.answer_timeout, from),
+                                     m_options.max_hold);
+    if (length < m_options.min_hold) {
         return std::nullopt;
     }
     item.written = now;
@@ -147,18 +151,18 @@
     return length;
 }
 
-std::vector<std::uint64_t> hold_caller::overdue(instant now) const {
+std::vector<std::uint64_t> hold_call_scheduler::overdue(instant now) const {
     std::vector<std::uint64_t> result;
     for (const auto &[id, item] : m_in_flight) {
         const bool grant = item.call.what == hold_call::kind::grant;
-        if (grant && item.written.value_or(item.begun) + m_options.answer_limit <= now) {
+        if (grant && item.written.value_or(item.begun) + m_options.answer_timeout <= now) {
             result.push_back(id);
         }
     }
     return result;
 }
 
-void hold_caller::end(std::uint64_t id, const hold_call_end &how, instant now) {
+void hold_call_scheduler::end(std::uint64_t id, const hold_call_end &how, instant now) {
     const auto found = m_in_flight.find(id);
     if (found == m_in_flight.end()) {
         return;
@@ -172,7 +176,7 @@
     }
 }
 
-void hold_caller::end_grant(const pending &item, const hold_call_end &how, instant now) {
+void hold_call_scheduler::end_grant(const pending &item, const hold_call_end &how, instant now) {
     const held_span &span = item.call.span;
     const auto known = m_wanted.find({span.from, span.token});
     wanted *target =
@@ -184,24 +188,25 @@
                              .written = *item.written,
                              .answered = done,
                              .sure_until = *item.written + item.length,
-                             .ends = now + longest(item.length)});
+                             .ends = now + max_real_length(item.length)});
     }
-    m_lost_row = how.result == hold_call_end::kind::lost ? m_lost_row + 1 : 0;
+    m_consecutive_lost_grants =
+        how.result == hold_call_end::kind::lost ? m_consecutive_lost_grants + 1 : 0;
     if (target == nullptr) {
         return;
     }
     if (done) {
-        target->given = true;
+        target->was_granted = true;
     } else if (how.result == hold_call_end::kind::token_refused) {
-        // The same token would be refused again. What is believed here is old: the next map brings
-        // another token, or takes the keys away.
-        target->refused_since = now;
+        // The same token would be refused again. This node's map is outdated: the next one brings
+        // another token or removes the keys.
+        target->token_refused_since = now;
     } else {
-        target->renew_at = now + m_options.retry_pause;
+        target->renew_at = now + m_options.retry_delay;
     }
 }
 
-void hold_caller::end_release(const pending &item, const hold_call_end &how, instant now) {
+void hold_call_scheduler::end_release(const pending &item, const hold_call_end &how, instant now) {
     const auto known = std::find_if(m_releasing.begin(), m_releasing.end(), [&](const auto &entry) {
         return entry.second.call == item.call.id;
     });
@@ -214,14 +219,16 @@
     if (how.result == hold_call_end::kind::done || timeout_counts) {
         known->second.answered = true;
         known->second.handover = how.handover;
-        clear_answered(item.call.span.from, item.call.span.to, item.written.value_or(item.begun));
+        clear_settled_grants(item.call.span.from, item.call.span.to,
+                             item.written.value_or(item.begun));
     } else {
-        known->second.retry_at = now + m_options.retry_pause;
+        known->second.retry_at = now + m_options.retry_delay;
     }
 }
 
-/// A release that was answered ends what was granted, and answered, before it was written.
-void hold_caller::clear_answered(std::uint32_t from, std::uint32_t to, instant before) {
+/// An answered release ends those grants that were answered and written before it.
+void hold_call_scheduler::clear_settled_grants(std::uint32_t from, std::uint32_t to,
+                                               instant before) {
     std::vector<granted> left;
     for (const granted &item : m_granted) {
         const bool settled =
@@ -244,75 +251,75 @@
     m_granted = std::move(left);
 }
 
-bool hold_caller::free(std::uint32_t from, std::uint32_t to, instant now) const {
+bool hold_call_scheduler::free(std::uint32_t from, std::uint32_t to, instant now) const {
     const bool granted_still =
         std::any_of(m_granted.begin(), m_granted.end(), [&](const granted &item) {
             return item.from <= to && from <= item.to && now < item.ends;
         });
-    return !granted_still && !grant_in_flight(from, to) && m_earlier_until <= now &&
-           m_keeper.held_until() <= now;
+    return !granted_still && !grant_in_flight(from, to) && m_previous_process_until <= now &&
+           m_manager.held_until() <= now;
 }
 
-bool hold_caller::grant_in_flight(std::uint32_t from, std::uint32_t to) const {
+bool hold_call_scheduler::grant_in_flight(std::uint32_t from, std::uint32_t to) const {
     return std::any_of(m_in_flight.begin(), m_in_flight.end(), [&](const auto &entry) {
         const hold_call &call = entry.second.call;
         return call.what == hold_call::kind::grant && call.span.from <= to && from <= call.span.to;
     });
 }
 
-bool hold_caller::holds(std::uint32_t key, instant now) const {
+bool hold_call_scheduler::holds(std::uint32_t key, instant now) const {
     return std::any_of(m_granted.begin(), m_granted.end(), [&](const granted &item) {
         const instant until = item.answered ? item.sure_until : item.ends;
         return item.from <= key && key <= item.to && now < until && !item.refused;
     });
 }
 
-instant hold_caller::may_hold_until() const {
-    instant last = m_earlier_until;
+instant hold_call_scheduler::may_hold_until() const {
+    instant last = m_previous_process_until;
     for (const granted &item : m_granted) {
         last = std::max(last, item.ends);
     }
     for (const auto &[id, item] : m_in_flight) {
         if (item.written && item.call.what == hold_call::kind::grant) {
-            last = std::max(last, *item.written + m_options.answer_limit + longest(item.length));
+            last = std::max(last, *item.written + m_options.answer_timeout +
+                                      max_real_length(item.length));
         }
     }
     return last;
 }
 
-void hold_caller::note_refused(std::uint32_t key, instant now) {
+void hold_call_scheduler::note_refused(std::uint32_t key, instant now) {
     for (granted &item : m_granted) {
         item.refused = item.refused || (item.from <= key && key <= item.to);
     }
     for (auto &[first, item] : m_wanted) {
         if (item.span.from <= key && key <= item.span.to) {
-            item.renew_at = std::min(item.renew_at, now + m_options.retry_pause);
+            item.renew_at = std::min(item.renew_at, now + m_options.retry_delay);
         }
     }
 }
 
-void hold_caller::reset() {
+void hold_call_scheduler::reset() {
     m_in_flight.clear();
     m_granted.clear();
     m_wanted.clear();
     m_releasing.clear();
-    m_lost_row = 0;
+    m_consecutive_lost_grants = 0;
 }
 
-bool hold_caller::stuck(instant now) const {
+bool hold_call_scheduler::token_rejected(instant now) const {
     return std::any_of(m_wanted.begin(), m_wanted.end(), [&](const auto &entry) {
-        const auto &since = entry.second.refused_since;
-        return since && *since + m_options.refused_limit <= now;
+        const auto &since = entry.second.token_refused_since;
+        return since && *since + m_options.refusal_timeout <= now;
     });
 }
 
-void hold_caller::forget_ended(instant now) {
+void hold_call_scheduler::drop_ended_grants(instant now) {
     std::erase_if(m_granted, [now](const granted &item) { return item.ends <= now; });
 }
 
-/// How long a hold may run by a clock that lags.
-duration hold_caller::longest(duration length) const {
-    return m_keeper.longest(length);
+duration hold_call_scheduler::max_real_length(duration length) const {
+    return m_manager.max_real_length(length);
 }
 
 } // namespace peppertack
--- a/src/coordination/lease_client.cpp
+++ b/src/coordination/lease_client.cpp
@@ -1,10 +1,10 @@
 #include "peppertack/coordination/lease_client.hpp"
 
 #include "peppertack/coordination/planted_defects.hpp"
-#include "peppertack/coordination/target_life.hpp"
+#include "peppertack/coordination/target_incarnation.hpp"
 #include "peppertack/coordination/voter_roster.hpp"
-#include "peppertack/state/packed_text.hpp"
 #include "peppertack/state/routing_delta.hpp"
+#include "peppertack/state/text_compression.hpp"
 
 #include <algorithm>
 #include <cassert>
@@ -13,23 +13,24 @@
 
 namespace {
 
-constexpr std::size_t remembered_renewals = 64;
-constexpr std::size_t most_voters = 16;
-constexpr std::size_t most_routing_bytes = 64U << 20U; ///< beyond what operators may send
-constexpr duration ask_next_voter_after = std::chrono::milliseconds(20);
-/// For so long a leader that did not answer is asked through others; then directly once more.
-constexpr duration relay_time = std::chrono::seconds(3);
-/// The first answer to an announcement has no number yet, and no lease: one of the next brings
-/// both. Renewals come so much closer until then.
-constexpr int registering_renewals = 3;
-constexpr duration least_interval = std::chrono::milliseconds(5);
+constexpr std::size_t max_pending_renewals = 64;
+constexpr std::size_t max_voters = 16;
+constexpr std::size_t max_routing_bytes = 64U << 20U; ///< larger than any table that operators may
+                                                      ///< send
+constexpr duration switch_voter_delay = std::chrono::milliseconds(20);
+/// A leader that did not answer is reached through other voters for this long, then directly again.
+constexpr duration relay_duration = std::chrono::seconds(3);
+/// The first answer to an announcement carries neither number nor lease; a later one brings both.
+/// Until then renewals are sent this many times as often.
+constexpr int registering_renewal_factor = 3;
+constexpr duration min_renew_interval = std::chrono::milliseconds(5);
 
-/// Renewals of different lives of a process are numbered far apart: an answer names nothing but
-/// that number, and one that waited for a connection may reach the life after. It would bring a
-/// lease that runs on here after it has ended at the leader.
+/// Spreads the sequence numbers of a process's incarnations far apart. An answer identifies its
+/// renewal by that number alone, and a delayed one may reach the next incarnation, where it would
+/// bring a lease that outlasts the leader's.
 std::uint64_t first_sequence(std::uint64_t incarnation) {
-    constexpr std::uint64_t far_apart = 0x9E3779B97F4A7C15; // 2^64 over the golden ratio
-    return incarnation * far_apart;
+    constexpr std::uint64_t sequence_stride = 0x9E3779B97F4A7C15; // 2^64 over the golden ratio
+    return incarnation * sequence_stride;
 }
 
 } // namespace
@@ -46,24 +47,24 @@
                                                            : m_registration;
 }
 
-/// Whether this is not the target, or not the life, that was announced before.
-bool lease_client::is_other(const target_announcement &announcement) const {
-    const bool same_life = m_announcement->incarnation == announcement.incarnation ||
-                           m_announcement->incarnation == any_life;
+/// Whether this is a different target or incarnation than the one announced before.
+bool lease_client::is_different(const target_announcement &announcement) const {
+    const bool same_incarnation = m_announcement->incarnation == announcement.incarnation ||
+                                  m_announcement->incarnation == any_incarnation;
     return m_announcement->name != announcement.name ||
-           m_announcement->service != announcement.service || !same_life;
+           m_announcement->service != announcement.service || !same_incarnation;
 }
 
 void lease_client::announce(const target_announcement &announcement, moment at) {
-    if (m_announcement && m_number != no_target && is_other(announcement)) {
+    if (m_announcement && m_number != no_target && is_different(announcement)) {
         give_up(at);
-        return; // the new target is taken on once the old one's lease has ended
+        return; // the new target is accepted once the old one's lease has ended
     }
     if (m_announcement && m_announcement->incarnation != announcement.incarnation) {
         m_lease_until = {};
     }
-    // A new life has nothing to do with the stop of the one before. Held to it, a target that was
-    // started again after its planned stop would never be given keys.
+    // The planned stop of an earlier incarnation does not apply to a new one; otherwise a target
+    // restarted after its planned stop would never be granted keys.
     if (m_retired_target && (m_retired_target->name != announcement.name ||
                              m_retired_target->incarnation != announcement.incarnation)) {
         m_retired = false;
@@ -73,7 +74,7 @@
         m_retired = false;
     }
     if (!m_announcement || *m_announcement != announcement) {
-        hurry();
+        renew_at_next_tick();
     }
     m_announcement = announcement;
     m_announced_at = at.now;
@@ -86,7 +87,7 @@
     }
     m_giving_up = true;
     m_lease_until = {};
-    hurry();
+    renew_at_next_tick();
 }
 
 bool lease_client::registered(const std::string &name, const std::string &service) const {
@@ -98,12 +99,12 @@
 }
 
 void lease_client::end_registration() {
-    // A target whose planned stop is done may go on announcing itself until it is switched off;
-    // taking it on again would undo the stop.
+    // A target whose planned stop is complete may keep announcing itself until it is shut down;
+    // registering it again would undo the stop.
     const target_route *own = m_map.find_target(m_number);
-    m_retired = own != nullptr && own->phase != target_phase::serving && m_drain_seen;
+    m_retired = own != nullptr && own->phase != target_phase::serving && m_drain_started;
     m_retired_target = m_retired ? m_announcement : std::nullopt;
-    m_drain_seen = false;
+    m_drain_started = false;
     m_number = no_target;
     m_lease_until = {};
     ++m_registration;
@@ -118,16 +119,16 @@
         give_up(at);
     }
     if (const target_route *own = m_map.find_target(m_number)) {
-        m_drain_seen = m_drain_seen || own->phase == target_phase::draining;
+        m_drain_started = m_drain_started || own->phase == target_phase::draining;
     }
-    if (m_waiting && at.now >= m_answer_due) {
-        m_silent_voter = m_voters[m_voter];
-        m_relay_until = at.now + relay_time;
-        next_voter({}, at.now);
-        m_waiting = false;
-        hurry();
+    if (m_awaiting_reply && at.now >= m_reply_due) {
+        m_unresponsive_voter = m_voters[m_voter];
+        m_relay_until = at.now + relay_duration;
+        switch_voter({}, at.now);
+        m_awaiting_reply = false;
+        renew_at_next_tick();
     }
-    if (at.now >= m_renew_at && m_sent_last + least_interval <= at.now) {
+    if (at.now >= m_renew_at && m_last_sent + min_renew_interval <= at.now) {
         send(at, fill, messages);
     }
 }
@@ -144,7 +145,8 @@
     request.target.number = m_number;
     request.target.incarnation = incarnation();
     request.suspects_version = m_suspects.version();
-    // Once registered, the number says it all: the rest would be half of what a renewal costs.
+    // Once registered, the number identifies the target; the other fields would be half of a
+    // renewal's size.
     if (m_announcement && m_number == no_target) {
         request.target.failure_domain = m_options.failure_domain;
         request.target.node_address = m_options.self;
@@ -161,33 +163,33 @@
         m_sent[m_sequence].name = m_announcement->name;
         m_sent[m_sequence].service = m_announcement->service;
     }
-    if (m_sent.size() > remembered_renewals) {
+    if (m_sent.size() > max_pending_renewals) {
         m_sent.erase(m_sent.begin());
     }
-    m_sent_last = at.now;
+    m_last_sent = at.now;
     const bool registering = m_announcement && m_number == no_target;
-    m_renew_at = at.now + m_options.renew_interval / (registering ? registering_renewals : 1);
-    if (!m_waiting) {
-        m_waiting = true;
-        m_answer_due = at.now + m_options.renew_timeout;
+    m_renew_at = at.now + m_options.renew_interval / (registering ? registering_renewal_factor : 1);
+    if (!m_awaiting_reply) {
+        m_awaiting_reply = true;
+        m_reply_due = at.now + m_options.renew_timeout;
     }
     messages.push_back({m_voters[m_voter], std::move(request)});
 }
 
-void lease_client::next_voter(const node_address &hint, instant now) {
+void lease_client::switch_voter(const node_address &hint, instant now) {
     const node_address wanted = address_of(hint);
     auto hinted = std::find(m_voters.begin(), m_voters.end(), wanted);
-    if (!hint.empty() && hinted == m_voters.end() && m_voters.size() < most_voters) {
-        // A voter that joined after the settings were written.
+    if (!hint.empty() && hinted == m_voters.end() && m_voters.size() < max_voters) {
+        // A voter that joined after the configuration was written.
         hinted = m_voters.insert(m_voters.end(), wanted);
     }
     if (hinted != m_voters.end()) {
         m_voter = static_cast<std::size_t>(std::distance(m_voters.begin(), hinted));
-        hurry();
+        renew_at_next_tick();
         return;
     }
     m_voter = (m_voter + 1) % m_voters.size();
-    m_renew_at = now + ask_next_voter_after;
+    m_renew_at = now + switch_voter_delay;
 }
 
 lease_client::change lease_client::receive(const node_address &from, const renew_reply &reply,
@@ -195,28 +197,28 @@
     change changed;
     const auto sent = m_sent.find(reply.sequence);
     if (sent == m_sent.end()) {
-        return changed; // an answer to an earlier life of this process, or far too late
+        return changed; // an answer to an earlier incarnation of this process, or far too late
     }
     const sent_renewal renewal = sent->second;
     m_sent.erase(sent);
     if (address_of(from) == m_voters[m_voter]) {
-        m_waiting = false;
+        m_awaiting_reply = false;
         const bool silent =
-            at.now < m_relay_until && address_of(reply.leader_hint) == m_silent_voter;
+            at.now < m_relay_until && address_of(reply.leader_hint) == m_unresponsive_voter;
         if (!reply.is_leader && silent) {
-            // The leader did not answer a moment ago. This voter will pass the next request on.
-            m_renew_at = at.now + ask_next_voter_after;
+            // The leader timed out recently; this voter will relay the next renewal.
+            m_renew_at = at.now + switch_voter_delay;
         } else if (!reply.is_leader) {
-            next_voter(reply.leader_hint, at.now);
+            switch_voter(reply.leader_hint, at.now);
         }
     }
     if (!reply.is_leader) {
         return changed;
     }
-    follow_voters(from, reply.voters);
+    update_voters(from, reply.voters);
     changed.map = m_map.apply(reply.map);
-    take_table(reply, changed);
-    take_routes(reply, changed);
+    apply_table(reply, changed);
+    apply_routes(reply, changed);
     if (reply.suspects_version > m_suspects.version()) {
         m_suspects.replace(reply.suspects_version, reply.suspects);
         changed.suspects = true;
@@ -228,32 +230,33 @@
         m_table_confirmed_at = std::max(m_table_confirmed_at, renewal.at);
     }
     if (renewal.incarnation != incarnation()) {
-        return changed; // about a registration that this one does not go on with
+        return changed; // about a registration that the current one does not continue
     }
     if (renewal.number == m_number && reply.registration_lost && m_number != no_target) {
         end_registration();
         changed.registration = true;
-        hurry();
+        renew_at_next_tick();
     } else if (m_number == no_target && reply.number != no_target && !m_giving_up &&
                renewal.number == no_target && announces(renewal.name, renewal.service)) {
-        // An answer that was overtaken by another target's announcement brings the number of the
-        // target before it: requests, and keys, of the old one would be the new one's.
+        // The renewal must have announced the same target: an answer overtaken by the announcement
+        // of another target carries the old target's number, under which the new target would
+        // receive its requests and keys.
         m_number = reply.number;
         changed.registration = true;
     }
     if (reply.lease > duration{} && reply.number == m_number && !m_giving_up) {
-        const instant from_when = g_defects.lease_from_receipt ? at.now : renewal.at;
-        m_lease_until = std::max(m_lease_until, from_when + m_options.lease.node_length());
+        const instant counted_from = g_defects.lease_from_receipt ? at.now : renewal.at;
+        m_lease_until = std::max(m_lease_until, counted_from + m_options.lease.node_length());
         ++m_renewed;
     }
     return changed;
 }
 
-/// Keeps to the voters in force, which differ from the settings once one was replaced.
-void lease_client::follow_voters(const node_address &leader,
+/// Adopts the current voters, which differ from the configured ones once one was replaced.
+void lease_client::update_voters(const node_address &leader,
                                  const std::vector<node_address> &voters) {
-    // By addresses: a node first knows voters by these alone, and whoever is at a voter's address
-    // now answers for it, also when it has come back without its disk and under another name.
+    // Compares addresses, since a node initially knows voters by these alone. The voter at an
+    // address answers for it, even if it has returned without its disk and under another identity.
     std::vector<node_address> addresses;
     for (const node_address &voter : voters) {
         const node_address address = address_of(voter);
@@ -273,7 +276,7 @@
     return {.map = m_map.apply(update)};
 }
 
-void lease_client::take_table(const renew_reply &reply, change &changed) {
+void lease_client::apply_table(const renew_reply &reply, change &changed) {
     if (reply.table_version <= m_table_version) {
         return;
     }
@@ -285,14 +288,14 @@
     m_table = std::move(*next);
     m_table_version = reply.table_version;
     changed.table = true;
-    hurry(); // no lease is granted until the table in force is reported back
+    renew_at_next_tick(); // no lease is granted until this node reports the table in force
 }
 
-void lease_client::take_routes(const renew_reply &reply, change &changed) {
+void lease_client::apply_routes(const renew_reply &reply, change &changed) {
     if (reply.routes_version <= m_routes.version || reply.routes.empty()) {
         return;
     }
-    const std::optional<std::string> text = unpack(reply.routes, most_routing_bytes);
+    const std::optional<std::string> text = decompress_text(reply.routes, max_routing_bytes);
     std::string reason = text ? "made for another version" : "damaged or too large";
     const std::optional<routing_delta> delta = text ? decode_delta(*text, reason) : std::nullopt;
     std::optional<routing_table> next = delta ? apply(m_routes, *delta) : std::nullopt;
@@ -302,7 +305,7 @@
     }
     m_routes = std::move(*next);
     changed.routes = true;
-    hurry(); // as with the table
+    renew_at_next_tick(); // as for the table of services
 }
 
 std::vector<lease_client::own_range> lease_client::own_ranges() const {
--- a/src/coordination/map_updates.cpp
+++ b/src/coordination/map_update_cache.cpp
@@ -1,4 +1,4 @@
-#include "peppertack/coordination/map_updates.hpp"
+#include "peppertack/coordination/map_update_cache.hpp"
 
 #include <algorithm>
 #include <set>
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kept_updates = 64;
+constexpr std::size_t max_cached_updates = 64;
 
 } // namespace
 
@@ -24,7 +24,7 @@
             .standby_epoch = record.standby_epoch};
 }
 
-map_update map_updates::whole() const {
+map_update map_update_cache::full_map() const {
     map_update update{.from = 0, .to = m_state.version(), .as_of = m_state.version()};
     for (const auto &[number, record] : m_state.targets()) {
         if (record.phase != target_phase::gone) {
@@ -37,32 +37,34 @@
     return update;
 }
 
-const map_update &map_updates::since(std::uint64_t version) {
-    if (m_kept_version != m_state.version() || m_kept.size() >= kept_updates) {
-        m_kept.clear();
-        m_kept_version = m_state.version();
+const map_update &map_update_cache::since(std::uint64_t version) {
+    if (m_cache_version != m_state.version() || m_cache.size() >= max_cached_updates) {
+        m_cache.clear();
+        m_cache_version = m_state.version();
     }
-    const auto found = m_kept.find(version);
-    return found != m_kept.end() ? found->second
-                                 : m_kept.emplace(version, make_since(version)).first->second;
+    const auto found = m_cache.find(version);
+    return found != m_cache.end() ? found->second
+                                  : m_cache.emplace(version, build_since(version)).first->second;
 }
 
-map_update map_updates::make_since(std::uint64_t version) const {
-    auto touched = version == 0 ? std::nullopt : m_state.touched_since(version);
+map_update map_update_cache::build_since(std::uint64_t version) const {
+    auto touched = version == 0 ? std::nullopt : m_state.changes_since(version);
     if (!touched || version > m_state.version()) {
-        return whole();
+        return full_map();
     }
     map_update update{.from = version, .to = m_state.version(), .as_of = m_state.version()};
-    if (touched->size() > m_most_items) {
-        // Cut where a version ends. Records carry their present values, which is no harm: whatever
-        // is touched after `to` is sent again. The rest comes with the next renewals, so that after
-        // the loss of a failure domain no node takes more than its share of the leader.
-        update.to = (*touched)[m_most_items].version;
-        std::erase_if(*touched, [&](const touched_item &item) { return item.version > update.to; });
+    if (touched->size() > m_max_items) {
+        // Truncated at a version boundary. Records carry their current values, which is harmless:
+        // items touched after `to` are sent again. The rest follows with the next renewals, so that
+        // after the loss of a failure domain no node takes more than its share of the leader's
+        // time.
+        update.to = (*touched)[m_max_items].version;
+        std::erase_if(*touched,
+                      [&](const change_feed_item &item) { return item.version > update.to; });
     }
     std::set<target_number> targets;
     std::map<std::string, std::set<std::uint64_t>> ranges;
-    for (const touched_item &item : *touched) {
+    for (const change_feed_item &item : *touched) {
         if (item.service.empty()) {
             targets.insert(item.number);
         } else {
@@ -89,7 +91,7 @@
     return update;
 }
 
-void map_updates::add_own_ranges(map_update &update, const target_record &record) const {
+void map_update_cache::add_own_ranges(map_update &update, const target_record &record) const {
     const auto found = m_state.ranges().find(record.service);
     if (found == m_state.ranges().end()) {
         return;
@@ -100,8 +102,8 @@
     if (part == update.services.end()) {
         part = update.services.insert(part, service_ranges{.service = record.service});
     }
-    // With each comes the range behind it: its first hash is where the own one ends, and the node
-    // may not know of that cut. Without it the node would take the rest for its own.
+    // Includes the range after each owned one: its first hash marks the end of the owned range, and
+    // the node may not know of that split. Otherwise it would treat the rest as its own.
     const std::vector<range_record> &ranges = found->second;
     for (std::size_t i = 0; i < ranges.size(); ++i) {
         const bool after_own = i > 0 && ranges[i - 1].owner == record.number;
--- a/src/coordination/range_owner.cpp
+++ b/src/coordination/range_owner.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr duration retry_soon = std::chrono::milliseconds(50);
-constexpr std::size_t hot_keys_reported = 8;
-constexpr std::size_t loads_reported = 64;
+constexpr duration refusal_retry_delay = std::chrono::milliseconds(50);
+constexpr std::size_t max_hot_keys_reported = 8;
+constexpr std::size_t max_loads_reported = 64;
 constexpr duration copy_retention = std::chrono::minutes(20);
-constexpr duration longest_lease_slack = std::chrono::hours(1);
+constexpr duration ignored_lease_slack = std::chrono::hours(1);
 
 bool runs_once(const caller_request &request) {
     return !request.repeatable && !request.idempotency_key.empty();
@@ -28,19 +28,19 @@
       m_reply(std::move(reply)), m_memory(options.memory),
       m_standby({.resend_interval = options.resend_interval, .timeout = options.standby_timeout}) {}
 
-// ---- taking requests ----
+// ---- accepting requests ----
 
 caller_response range_owner::refusal(error_kind error) const {
     caller_response response{.result = outcome::not_run, .error = error};
-    response.retry_after = retry_soon;
+    response.retry_after = refusal_retry_delay;
     return response;
 }
 
 const range_owner::own_range *range_owner::own_range_of(std::uint64_t hash) const {
     const auto after = std::upper_bound(
-        m_own.begin(), m_own.end(), hash,
+        m_own_ranges.begin(), m_own_ranges.end(), hash,
         [](std::uint64_t value, const own_range &range) { return value < range.record.first; });
-    if (after == m_own.begin()) {
+    if (after == m_own_ranges.begin()) {
         return nullptr;
     }
     const own_range &range = *std::prev(after);
@@ -50,9 +50,9 @@
 std::optional<caller_response> range_owner::check_owner(const served_request &request,
                                                         target_number owner, instant now) {
     const own_range *range = own_range_of(request.hash);
-    const bool mine = range != nullptr && owner == m_number && m_lease.announcement() &&
-                      request.request.service == m_lease.announcement()->service;
-    if (!mine) {
+    const bool is_owner = range != nullptr && owner == m_number && m_lease.announcement() &&
+                          request.request.service == m_lease.announcement()->service;
+    if (!is_owner) {
         return refusal(error_kind::not_owner);
     }
     if (!m_lease.lease_valid(now)) {
@@ -73,7 +73,7 @@
 void range_owner::serve(const request_id &id, const std::optional<node_address> &from,
                         target_number owner, caller_request request, moment at) {
     if (m_by_id.count(id) != 0) {
-        return; // the network delivered it twice
+        return; // duplicate delivery
     }
     served_request served{.id = id, .from = from, .request = std::move(request)};
     served.hash = key_hash(served.request.key);
@@ -91,13 +91,13 @@
         return;
     }
     served.fingerprint = fingerprint_of(served.request);
-    if (m_lease.suspects().quarantines(served.fingerprint)) {
+    if (m_lease.suspects().is_quarantined(served.fingerprint)) {
         reply(served, refusal(error_kind::quarantined), at);
         return;
     }
     served.token = own_range_of(served.hash)->record.token;
     ++m_range_requests[own_range_of(served.hash)->record.first];
-    m_hot.count(served.hash);
+    m_hot_keys.count(served.hash);
     const std::uint64_t serial = m_next_serial++;
     m_by_id[id] = serial;
     const bool keyed = served.keyed;
@@ -120,7 +120,7 @@
             .response = {}};
 }
 
-/// Answers from memory if the key is known. True if the request was dealt with.
+/// Answers a request whose key is remembered. Returns true if no further handling is needed.
 bool range_owner::check_memory(std::uint64_t serial, moment at) {
     served_request &served = m_served.at(serial);
     const remembered_key *known =
@@ -146,7 +146,7 @@
 }
 
 bool range_owner::recall_pending(const own_range &range) const {
-    if (range.record.memory != range_memory::fetch) {
+    if (range.record.memory != idempotency_state::fetch) {
         return false;
     }
     const auto found = m_recalls.find(range.record.first);
@@ -154,16 +154,16 @@
 }
 
 bool range_owner::memory_lost(const own_range &range) const {
-    if (range.record.memory == range_memory::lost) {
+    if (range.record.memory == idempotency_state::lost) {
         return true;
     }
     const auto found = m_recalls.find(range.record.first);
-    return range.record.memory == range_memory::fetch && found != m_recalls.end() &&
+    return range.record.memory == idempotency_state::fetch && found != m_recalls.end() &&
            found->second.step == recall_step::lost;
 }
 
-/// A request that may run only once: its key is recorded here and with the standby before the
-/// target sees it, so that whoever owns the range next can tell a resend from a first attempt.
+/// Records the key of a request that may run only once, here and with the standby, before the
+/// target receives it. The range's next owner can then distinguish a resend from a first attempt.
 void range_owner::record_key(std::uint64_t serial, moment at) {
     served_request &served = m_served.at(serial);
     if (check_memory(serial, at)) {
@@ -179,7 +179,7 @@
         return;
     }
     if (memory_lost(*range) && !g_defects.rerun_forgotten) {
-        // It may have run at the lost owner. Saying "not run" or running it would be a guess.
+        // It may have run at the lost owner, so neither "not run" nor running it again is safe.
         finish(serial, {.result = outcome::unknown, .error = error_kind::memory_lost}, at);
         return;
     }
@@ -210,7 +210,7 @@
     }
 }
 
-/// The last look at the lease before the target is called; every wait is behind it.
+/// The last lease check before the target is called; all waiting is done by now.
 void range_owner::start(std::uint64_t serial, moment at) {
     served_request &served = m_served.at(serial);
     const own_range *range = own_range_of(served.hash);
@@ -219,7 +219,7 @@
         finish(serial, refusal(error_kind::no_owner), at);
         return;
     }
-    if (m_lease.suspects().quarantines(served.fingerprint)) {
+    if (m_lease.suspects().is_quarantined(served.fingerprint)) {
         m_admission.finish(m_admission.service_time());
         finish(serial, refusal(error_kind::quarantined), at);
         return;
@@ -229,7 +229,7 @@
     served.started = at.now;
     instant not_after = std::min(m_lease.lease_until(), served.deadline);
     if (g_defects.ignore_lease_before_write) {
-        not_after = served.deadline + longest_lease_slack;
+        not_after = served.deadline + ignored_lease_slack;
     }
     target_call call{.call = serial,
                      .request = served.request,
@@ -293,24 +293,24 @@
     const bool recorded =
         served.keyed && served.state != phase::attached && served.state != phase::recalling;
     if (recorded) {
-        settle_key(served, response, at);
+        record_outcome(served, response, at);
     }
     reply(served, response, at);
     if (recorded) {
-        wake_attached(served, response, at);
+        finish_attached(served, response, at);
     }
 }
 
-void range_owner::settle_key(const served_request &request, const caller_response &response,
-                             moment at) {
+void range_owner::record_outcome(const served_request &request, const caller_response &response,
+                                 moment at) {
     const remembered_key *known =
         m_memory.find(request.request.service, request.request.idempotency_key);
     if (known == nullptr || known->phase != key_phase::running ||
         known->fingerprint != request.fingerprint) {
-        return; // it was answered from memory
+        return; // answered from memory
     }
     if (response.result == outcome::not_run) {
-        forget_key(request);
+        erase_key(request);
         return;
     }
     remembered_key key =
@@ -321,13 +321,13 @@
     m_standby.add(key, std::nullopt);
 }
 
-void range_owner::forget_key(const served_request &request) {
+void range_owner::erase_key(const served_request &request) {
     m_memory.erase(request.request.service, request.request.idempotency_key);
     m_standby.add(key_of(request, key_phase::erased, 0), std::nullopt);
 }
 
-void range_owner::wake_attached(const served_request &request, const caller_response &response,
-                                moment at) {
+void range_owner::finish_attached(const served_request &request, const caller_response &response,
+                                  moment at) {
     std::vector<std::uint64_t> attached;
     for (const auto &[serial, other] : m_served) {
         if (other.state == phase::attached && other.request.service == request.request.service &&
@@ -350,7 +350,7 @@
     m_effects.messages.push_back({*request.from, forward_reply{request.id, std::move(response)}});
 }
 
-/// Answers stay for a while in case the connection that carries them is dead.
+/// Keeps answers for a while in case the connection that carries them is broken.
 void range_owner::keep_finished(const served_request &request, const caller_response &response,
                                 instant now) {
     const auto [place, added] = m_finished.try_emplace(request.id);
@@ -430,7 +430,7 @@
             continue;
         }
         if (found->second.state == phase::attached) {
-            // Its first attempt is running: this caller's question stays open.
+            // The first attempt is still running, so the outcome is unknown for this caller.
             finish(serial, {.result = outcome::unknown, .error = error_kind::deadline_after_target},
                    at);
             continue;
@@ -455,7 +455,8 @@
     } else if (query.owner != m_number || query.age > m_options.fate_retention / 2) {
         answer.fate = request_fate::forgotten;
     } else {
-        // Barred from now on: should it still arrive it is dropped, so "never seen" stays true.
+        // The request is barred: it is dropped if it still arrives, so the reply "never seen" stays
+        // true.
         m_finished[query.id] = {.at = at.now};
         m_finished_order.push_back(query.id);
     }
@@ -475,8 +476,8 @@
             m_memory.put(key);
         }
         const std::uint64_t id = m_next_sequence++;
-        // A loss right after the hand-over must not lose the keys: they count as held once the
-        // standby of this owner holds them too.
+        // A loss right after the handover must not lose the keys, so they count as held only once
+        // this owner's standby holds them too.
         if (m_standby.add_all(request.keys, {standby_waiter::kind::handover, id})) {
             m_handovers_in[id] = {from, request.sequence};
             m_standby.step(m_memory, at.now, m_effects.messages);
@@ -495,7 +496,7 @@
     if (answer.held && !repeated) {
         standby_copy &copy = m_copies.try_emplace(request.owner).first->second;
         if (request.replace_all) {
-            copy.keys = key_memory(m_options.memory);
+            copy.keys = idempotency_store(m_options.memory);
         }
         copy.last_sequence = request.sequence;
         copy.touched = at.now;
@@ -512,7 +513,7 @@
 
 void range_owner::receive(const node_address &, const remember_reply &reply, moment at) {
     if (!reply.handover) {
-        wake(m_standby.receive(reply), at);
+        release_waiters(m_standby.receive(reply), at);
         return;
     }
     for (auto &[first, state] : m_releases) {
@@ -521,12 +522,12 @@
         if (answers) {
             state.step = release_step::released;
             ++m_counters.ranges_released;
-            m_lease.hurry();
+            m_lease.renew_at_next_tick();
         }
     }
 }
 
-void range_owner::wake(const std::vector<standby_waiter> &waiters, moment at) {
+void range_owner::release_waiters(const std::vector<standby_waiter> &waiters, moment at) {
     for (const standby_waiter &waiter : waiters) {
         if (waiter.what == standby_waiter::kind::request) {
             const auto found = m_served.find(waiter.id);
@@ -546,7 +547,7 @@
             const auto found = m_recalls.find(waiter.id);
             if (found != m_recalls.end() && found->second.step == recall_step::storing) {
                 found->second.step = recall_step::done;
-                m_lease.hurry();
+                m_lease.renew_at_next_tick();
             }
         }
     }
@@ -567,7 +568,7 @@
     for (auto &[first, state] : m_recalls) {
         if (state.sequence == reply.sequence && state.step == recall_step::asking) {
             if (reply.held) {
-                take_recalled(first, reply.keys, at);
+                store_recalled_keys(first, reply.keys, at);
             } else {
                 state.step = recall_step::lost;
             }
@@ -577,10 +578,11 @@
     }
 }
 
-void range_owner::take_recalled(std::uint64_t first, std::vector<remembered_key> keys, moment at) {
+void range_owner::store_recalled_keys(std::uint64_t first, std::vector<remembered_key> keys,
+                                      moment at) {
     for (remembered_key &key : keys) {
         if (key.phase == key_phase::running) {
-            key.phase = key_phase::unknown; // it was handed to a target whose answer nobody has
+            key.phase = key_phase::unknown; // sent to a target whose answer is lost
         }
         m_memory.put(key);
     }
@@ -588,7 +590,7 @@
     state.step = recall_step::storing;
     if (!m_standby.add_all(keys, {standby_waiter::kind::restored, first})) {
         state.step = recall_step::done;
-        m_lease.hurry();
+        m_lease.renew_at_next_tick();
     }
     m_standby.step(m_memory, at.now, m_effects.messages);
 }
@@ -609,9 +611,9 @@
 }
 
 void range_owner::step_recalls(moment at) {
-    for (const own_range &range : m_own) {
+    for (const own_range &range : m_own_ranges) {
         const range_record &record = range.record;
-        if (record.memory != range_memory::fetch) {
+        if (record.memory != idempotency_state::fetch) {
             continue;
         }
         recall &state = m_recalls[record.first];
@@ -634,7 +636,7 @@
             if (copy == m_copies.end()) {
                 state.step = recall_step::lost;
             } else {
-                take_recalled(
+                store_recalled_keys(
                     record.first,
                     copy->second.keys.in_range(request.service, request.first, request.last), at);
             }
@@ -647,14 +649,14 @@
 
 // ---- planned moves ----
 
-bool range_owner::busy(const own_range &range) const {
+bool range_owner::has_requests(const own_range &range) const {
     return std::any_of(m_served.begin(), m_served.end(), [&](const auto &item) {
         return item.second.hash >= range.record.first && item.second.hash <= range.last;
     });
 }
 
 void range_owner::step_releases(moment at) {
-    for (const own_range &range : m_own) {
+    for (const own_range &range : m_own_ranges) {
         const range_record &record = range.record;
         if (record.next == no_target) {
             continue;
@@ -663,8 +665,8 @@
         if (state.token != record.token || state.to != record.next) {
             state = {.token = record.token, .to = record.next};
         }
-        // Keys that are still to be fetched must be here before they can be handed over.
-        const bool idle = g_defects.early_release || !busy(range);
+        // Keys that are still being fetched have to arrive before they can be handed over.
+        const bool idle = g_defects.early_release || !has_requests(range);
         if (state.step == release_step::draining && idle && !recall_pending(range)) {
             hand_over(range, state, at);
         } else if (state.step == release_step::handing_over &&
@@ -696,7 +698,7 @@
 // ---- following the control state ----
 
 void range_owner::rebuild_own_ranges() {
-    m_own.clear();
+    m_own_ranges.clear();
     const std::optional<target_announcement> &target = m_lease.announcement();
     const route_map::service_map *map =
         target ? m_lease.map().find_service(target->service) : nullptr;
@@ -705,13 +707,13 @@
     }
     for (std::size_t i = 0; i < map->ranges.size(); ++i) {
         if (map->ranges[i].owner == m_number) {
-            m_own.push_back({map->ranges[i], map->last_hash(i)});
+            m_own_ranges.push_back({map->ranges[i], map->last_hash(i)});
         }
     }
 }
 
 void range_owner::map_changed(moment at) {
-    const std::vector<own_range> before = m_own;
+    const std::vector<own_range> before = m_own_ranges;
     rebuild_own_ranges();
     std::erase_if(m_releases, [&](const auto &item) {
         const own_range *range = own_range_of(item.first);
@@ -721,14 +723,14 @@
     std::erase_if(m_recalls, [&](const auto &item) {
         const own_range *range = own_range_of(item.first);
         return range == nullptr || range->record.token != item.second.token ||
-               range->record.memory != range_memory::fetch;
+               range->record.memory != idempotency_state::fetch;
     });
     for (const own_range &range : before) {
         const own_range *still = own_range_of(range.record.first);
         if (still != nullptr && still->last >= range.last) {
             continue;
         }
-        // A range that was cut may be gone in part only, so each key is looked at by itself.
+        // A split range may be lost only in part, so each key is checked separately.
         for (const remembered_key &key :
              m_memory.in_range(m_lease.announcement() ? m_lease.announcement()->service : "",
                                range.record.first, range.last)) {
@@ -749,7 +751,8 @@
         return;
     }
     const target_route *standby = m_lease.map().find_target(own->standby);
-    wake(m_standby.follow(m_number, *own, standby == nullptr ? "" : standby->address), at);
+    release_waiters(m_standby.follow(m_number, *own, standby == nullptr ? "" : standby->address),
+                    at);
     m_standby.step(m_memory, at.now, m_effects.messages);
 }
 
@@ -776,7 +779,7 @@
     m_recalls.clear();
     m_copies.clear();
     m_handovers_in.clear();
-    wake(m_standby.reset(), at);
+    release_waiters(m_standby.reset(), at);
     table_changed();
     map_changed(at);
 }
@@ -818,27 +821,27 @@
     const double seconds =
         std::chrono::duration<double>(std::max(now - m_loads_sent, duration(1))).count();
     m_loads_sent = now;
-    for (const own_range &range : m_own) {
+    for (const own_range &range : m_own_ranges) {
         const auto count = m_range_requests.find(range.record.first);
         const double requests = count == m_range_requests.end() ? 0 : count->second;
-        if (request.loads.size() < loads_reported) {
+        if (request.loads.size() < max_loads_reported) {
             request.loads.push_back(
                 {range.record.first, static_cast<std::uint32_t>(requests / seconds)});
         }
     }
     m_range_requests.clear();
-    request.hot_keys = m_hot.take(hot_keys_reported);
+    request.hot_keys = m_hot_keys.take(max_hot_keys_reported);
     for (hot_key &key : request.hot_keys) {
         key.requests = static_cast<std::uint32_t>(key.requests / seconds);
     }
 }
 
 void range_owner::tick(moment at) {
-    if (m_crashes.urgent(at.now)) {
-        m_lease.hurry();
+    if (m_crashes.has_unsent_report(at.now)) {
+        m_lease.renew_at_next_tick();
     }
     if (m_number != no_target && !m_lease.lease_valid(at.now) && !m_served.empty()) {
-        // Whatever is written now could meet another owner's work.
+        // Any call written now could conflict with another owner's.
         ++m_counters.leases_lapsed;
         stop_serving(at);
     }
--- a/src/coordination/routing_history.cpp
+++ b/src/coordination/routing_history.cpp
@@ -1,6 +1,6 @@
 #include "peppertack/coordination/routing_history.hpp"
 
-#include "peppertack/state/packed_text.hpp"
+#include "peppertack/state/text_compression.hpp"
 
 #include <algorithm>
 
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Changes that a node may miss before it is sent the whole routing table: more than come within
-/// the second or two that a node takes to be heard again.
-constexpr std::size_t most_deltas = 32;
-constexpr std::size_t most_packed = 32;
+/// Changes that a node may miss before it is sent the full routing table: more than occur within
+/// the one or two seconds in which a node regains contact.
+constexpr std::size_t max_deltas = 32;
+constexpr std::size_t max_cached_deltas = 32;
 
 } // namespace
 
-void routing_history::note(const std::string &delta) {
+void routing_history::record(const std::string &delta) {
     std::string reason;
     std::optional<routing_delta> read = decode_delta(delta, reason);
     const bool follows = read && !m_deltas.empty() && m_deltas.back().version == read->base_version;
@@ -23,24 +23,24 @@
         m_deltas.clear();
     }
     if (!read || read->base_version == 0) {
-        return; // a whole routing table; nodes are sent the same
+        return; // a full routing table, which nodes receive as such
     }
     m_deltas.push_back(without_sources(std::move(*read)));
-    if (m_deltas.size() > most_deltas) {
+    if (m_deltas.size() > max_deltas) {
         m_deltas.pop_front();
     }
 }
 
-const std::string &routing_history::packed_since(std::uint64_t version,
-                                                 const routing_table &current) {
-    if (m_packed_to != current.version || m_packed.size() >= most_packed) {
-        m_packed.clear();
-        m_packed_to = current.version;
+const std::string &routing_history::compressed_since(std::uint64_t version,
+                                                     const routing_table &current) {
+    if (m_compressed_version != current.version || m_compressed.size() >= max_cached_deltas) {
+        m_compressed.clear();
+        m_compressed_version = current.version;
     }
-    const auto found = m_packed.find(version);
-    return found != m_packed.end()
+    const auto found = m_compressed.find(version);
+    return found != m_compressed.end()
                ? found->second
-               : m_packed.emplace(version, pack(encode(delta_since(version, current))))
+               : m_compressed.emplace(version, compress_text(encode(delta_since(version, current))))
                      .first->second;
 }
 
--- a/src/coordination/target_selector.cpp
+++ b/src/coordination/target_selector.cpp
@@ -7,30 +7,31 @@
 
 namespace {
 
-/// Usual times kept for each target.
-constexpr std::size_t most_routes = 256;
+/// Maximum number of service times by route kept for each target.
+constexpr std::size_t max_routes = 256;
 
 } // namespace
 
-/// By route where that is known: a target that is given short requests would look quick, and be
-/// given more of all kinds than one whose requests are long.
-duration target_selector::usual_time(const state *known, const std::string &route) const {
+/// Uses the time of the route if known: by its mean time a target with mostly short requests would
+/// look fast and receive more requests of all kinds than one whose requests are long.
+duration target_selector::expected_service_time(const state *known,
+                                                const std::string &route) const {
     if (known == nullptr) {
         return m_options.prior_service_time;
     }
-    const auto told =
+    const auto entry =
         m_options.times_by_route ? known->by_route.find(route) : known->by_route.end();
-    if (told != known->by_route.end()) {
-        return told->second;
+    if (entry != known->by_route.end()) {
+        return entry->second;
     }
     const duration mean = known->load.service_time;
     return mean > duration{} ? mean : m_options.prior_service_time;
 }
 
 double target_selector::capacity(const state *known, const std::string &route) const {
-    const bool told = known != nullptr && known->load.limit > 0;
-    const double limit = told ? known->load.limit : m_options.prior_limit;
-    return limit / static_cast<double>(usual_time(known, route).count());
+    const bool has_limit = known != nullptr && known->load.limit > 0;
+    const double limit = has_limit ? known->load.limit : m_options.prior_limit;
+    return limit / static_cast<double>(expected_service_time(known, route).count());
 }
 
 duration target_selector::estimate(target_number number, const std::string &route,
@@ -40,7 +41,7 @@
     const state &known = found == m_targets.end() ? none : found->second;
     const bool fresh = known.load.limit > 0 && known.reported + m_options.report_lifetime > now;
     const std::uint32_t limit = known.load.limit > 0 ? known.load.limit : m_options.prior_limit;
-    const duration time = usual_time(&known, route);
+    const duration time = expected_service_time(&known, route);
     const duration mean = known.load.service_time > duration{} ? known.load.service_time : time;
     std::uint32_t busy = known.outstanding;
     duration backlog{};
@@ -48,12 +49,12 @@
         const std::uint32_t since =
             known.outstanding - std::min(known.outstanding, known.at_report);
         busy = known.load.in_flight + since;
-        const bool told = m_options.times_by_route && known.load.route_time > duration{};
-        backlog = told ? known.load.backlog : mean * known.load.waiting / limit;
+        const bool has_route_time = m_options.times_by_route && known.load.route_time > duration{};
+        backlog = has_route_time ? known.load.backlog : mean * known.load.waiting / limit;
     }
     const double fill = static_cast<double>(busy + 1) / limit;
-    // Below its limit a target is as quick as ever, but the fuller one is the sooner overtaken by
-    // what other nodes send meanwhile.
+    // Below its limit a target's service time does not depend on its load, but a fuller one reaches
+    // its limit sooner through the requests of other nodes.
     const double own = static_cast<double>(time.count()) * (1 + 0.2 * std::min(fill, 1.0));
     const double wait = static_cast<double>(mean.count()) * std::max(fill - 1, 0.0);
     return backlog + duration(static_cast<duration::rep>(own + wait));
@@ -99,18 +100,19 @@
         return cost(a, shape, now) < cost(b, shape, now);
     };
     std::size_t best = cheaper(from[second], from[first]) ? second : first;
-    // Of many targets the two drawn are mostly far: what is near is looked at in any case.
+    // With many targets the two drawn are mostly in other failure domains, so a target in this one
+    // is always considered.
     const std::optional<std::size_t> near =
-        m_options.near_choice ? draw_near(from, shape.route) : std::nullopt;
+        m_options.near_choice ? draw_same_domain(from, shape.route) : std::nullopt;
     best = near && cheaper(from[*near], from[best]) ? *near : best;
     const auto own =
         std::find_if(from.begin(), from.end(), [](const candidate &item) { return item.own; });
     return own != from.end() && cheaper(*own, from[best]) ? own->number : from[best].number;
 }
 
-/// One of the targets in this failure domain, in proportion to what they can do.
-std::optional<std::size_t> target_selector::draw_near(const std::vector<candidate> &from,
-                                                      const std::string &route) {
+/// Draws one of the targets in this failure domain, weighted by capacity.
+std::optional<std::size_t> target_selector::draw_same_domain(const std::vector<candidate> &from,
+                                                             const std::string &route) {
     std::vector<double> weights;
     bool any = false;
     for (const candidate &item : from) {
@@ -132,14 +134,14 @@
         time += found->second.load.body_wait;
     }
     const auto count = static_cast<double>(time.count());
-    return item.near ? count : count * m_options.distance_factor;
+    return item.near ? count : count * m_options.remote_cost_factor;
 }
 
-void target_selector::sent(target_number number) {
+void target_selector::record_sent(target_number number) {
     ++m_targets[number].outstanding;
 }
 
-void target_selector::ended(target_number number, call_end how, instant now) {
+void target_selector::record_outcome(target_number number, call_outcome result, instant now) {
     const auto found = m_targets.find(number);
     if (found == m_targets.end()) {
         return;
@@ -147,28 +149,28 @@
     state &known = found->second;
     known.outstanding -= known.outstanding > 0 ? 1 : 0;
     known.at_report -= known.at_report > 0 ? 1 : 0;
-    if (how == call_end::served) {
+    if (result == call_outcome::served) {
         known.failures = 0;
         known.ejections = 0;
         known.ejected_until = {};
         return;
     }
-    if (++known.failures < m_options.failures_until_ejected && how != call_end::unreachable) {
+    if (++known.failures < m_options.ejection_threshold && result != call_outcome::unreachable) {
         return;
     }
-    const duration pause = m_options.ejected_for * (1U << std::min(known.ejections, 4U));
-    known.ejected_until = now + std::min(pause, m_options.longest_ejection);
+    const duration pause = m_options.base_ejection_time * (1U << std::min(known.ejections, 4U));
+    known.ejected_until = now + std::min(pause, m_options.max_ejection_time);
     ++known.ejections;
-    known.failures = m_options.failures_until_ejected - 1; // the next failure ejects it again
+    known.failures = m_options.ejection_threshold - 1; // the next failure ejects it again
 }
 
-void target_selector::note(target_number number, const target_load &load, instant now,
-                           const std::string &route) {
+void target_selector::record_load(target_number number, const target_load &load, instant now,
+                                  const std::string &route) {
     state &known = m_targets[number];
     known.load = load;
     if (load.route_time > duration{}) {
-        if (known.by_route.size() >= most_routes) {
-            known.by_route.clear(); // also of routes that a table has dropped since
+        if (known.by_route.size() >= max_routes) {
+            known.by_route.clear(); // includes routes that a newer routing table has removed
         }
         known.by_route[route] = load.route_time;
     }
@@ -176,7 +178,7 @@
     known.at_report = known.outstanding;
 }
 
-void target_selector::keep_only(const std::unordered_map<target_number, target_route> &known) {
+void target_selector::retain(const std::unordered_map<target_number, target_route> &known) {
     std::erase_if(m_targets, [&](const auto &item) {
         return known.count(item.first) == 0 && item.second.outstanding == 0;
     });
--- a/src/state/audit_log.cpp
+++ b/src/state/audit_log.cpp
@@ -57,33 +57,33 @@
         reason = files.last_reason();
         return std::nullopt;
     }
-    const std::size_t whole =
+    const std::size_t complete_bytes =
         content->rfind('\n') == std::string::npos ? 0 : content->rfind('\n') + 1;
-    if (whole < content->size() && !files.truncate(log.m_segment, whole)) {
+    if (complete_bytes < content->size() && !files.truncate(log.m_segment, complete_bytes)) {
         reason = files.last_reason();
         return std::nullopt;
     }
     const std::vector<audit_record> records = read_segment(files, log.m_segment);
     log.m_segment_size = records.size();
-    log.m_segment_bytes = whole;
+    log.m_segment_bytes = complete_bytes;
     log.m_last = records.empty() ? 0 : records.back().sequence;
     return log;
 }
 
 bool audit_log::append(const audit_record &record) {
     if (record.sequence > last_sequence()) {
-        m_waiting.push_back(record);
+        m_pending.push_back(record);
     }
-    if (m_waiting.size() > m_options.waiting_records) {
-        m_waiting.pop_front();
+    if (m_pending.size() > m_options.max_pending_records) {
+        m_pending.pop_front();
     }
-    // Given up at the first error, a record that the disk takes a second later would be missing
-    // from the chain for good.
-    while (!m_waiting.empty()) {
-        if (!write(m_waiting.front())) {
+    // Retry pending records: dropping a record on the first error would leave a permanent gap in
+    // the chain, even if the disk accepts writes a second later.
+    while (!m_pending.empty()) {
+        if (!write(m_pending.front())) {
             return false;
         }
-        m_waiting.pop_front();
+        m_pending.pop_front();
     }
     return true;
 }
@@ -112,10 +112,10 @@
     m_segment = segment_name(first.sequence);
     m_segment_size = 0;
     m_segment_bytes = 0;
-    // Unreadable for now: what is too old goes when the next segment begins.
+    // If the directory can't be listed, expired segments are removed when the next segment begins.
     const std::vector<std::string> names =
         segments_of(*m_files).value_or(std::vector<std::string>{});
-    for (std::size_t i = 0; i + m_options.kept_segments < names.size(); ++i) {
+    for (std::size_t i = 0; i + m_options.max_segments < names.size(); ++i) {
         m_files->remove(names[i]);
     }
 }
@@ -127,7 +127,7 @@
         std::vector<audit_record> part = read_segment(*m_files, name);
         std::move(part.begin(), part.end(), std::back_inserter(records));
     }
-    records.insert(records.end(), m_waiting.begin(), m_waiting.end());
+    records.insert(records.end(), m_pending.begin(), m_pending.end());
     return records;
 }
 
@@ -141,7 +141,7 @@
     for (const audit_record &record : records) {
         std::string reason;
         if (!extend_chain(head, record, reason)) {
-            report.whole = false;
+            report.intact = false;
             report.faults.push_back(reason);
             head = {record.sequence, record.hash};
         }
--- a/src/state/control_state.cpp
+++ b/src/state/control_state.cpp
@@ -18,11 +18,13 @@
 NLOHMANN_DEFINE_TYPE_NON_INTRUSIVE(audit_head, sequence, hash)
 
 inline void to_json(nlohmann::json &json, const suspect_record &item) {
-    json = {{"lives", item.lives}, {"seen_ms", item.seen_ms}, {"quarantined", item.quarantined}};
+    json = {{"lives", item.crashed_incarnations},
+            {"seen_ms", item.seen_ms},
+            {"quarantined", item.quarantined}};
 }
 
 inline void from_json(const nlohmann::json &json, suspect_record &item) {
-    json.at("lives").get_to(item.lives);
+    json.at("lives").get_to(item.crashed_incarnations);
     json.at("seen_ms").get_to(item.seen_ms);
     json.at("quarantined").get_to(item.quarantined);
 }
@@ -30,10 +32,11 @@
 namespace {
 
 constexpr int state_version = 1;
-constexpr std::size_t remembered_answers = 50'000; ///< about three days at 17,000 changes a day
-constexpr std::size_t touched_limit = 250'000;
-constexpr std::size_t kept_ended_targets = 1'000;
-constexpr unsigned initial_range_bits = 6; ///< 64 ranges: about 16 a target for small services
+/// About three days at 17,000 changes per day.
+constexpr std::size_t max_remembered_answers = 50'000;
+constexpr std::size_t max_change_feed_items = 250'000;
+constexpr std::size_t max_ended_targets = 1'000;
+constexpr unsigned initial_range_bits = 6; ///< 64 ranges: about 16 per target for small services
 
 std::string dump(const nlohmann::json &json) {
     return json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
@@ -94,14 +97,15 @@
     return &*position_of(const_cast<service_ranges &>(found->second), hash);
 }
 
-std::optional<std::vector<touched_item>> control_state::touched_since(std::uint64_t version) const {
-    if (version < m_touched_from) {
+std::optional<std::vector<change_feed_item>>
+control_state::changes_since(std::uint64_t version) const {
+    if (version < m_feed_base_version) {
         return std::nullopt;
     }
     const auto from = std::upper_bound(
-        m_touched.begin(), m_touched.end(), version,
-        [](std::uint64_t value, const touched_item &item) { return value < item.version; });
-    return std::vector<touched_item>(from, m_touched.end());
+        m_change_feed.begin(), m_change_feed.end(), version,
+        [](std::uint64_t value, const change_feed_item &item) { return value < item.version; });
+    return std::vector<change_feed_item>(from, m_change_feed.end());
 }
 
 std::optional<change_answer> control_state::earlier_answer(const std::string &change_id) const {
@@ -117,9 +121,9 @@
     assert(index > m_version);
     m_version = index;
     applied result;
-    note written;
+    audit_detail detail;
     result.error = std::visit(
-        [&](const auto &body) { return apply_body(body, value, written, result); }, value.body);
+        [&](const auto &body) { return apply_body(body, value, detail, result); }, value.body);
     if (result.error != error_kind::none && result.error != error_kind::version_conflict) {
         return result;
     }
@@ -129,9 +133,9 @@
                         .kind = kind_name(value.body),
                         .actor = value.actor,
                         .cause = value.cause,
-                        .subject = written.subject,
-                        .before = written.before,
-                        .after = written.after,
+                        .subject = detail.subject,
+                        .before = detail.before,
+                        .after = detail.after,
                         .previous_hash = m_audit.hash,
                         .hash = {}};
     record.hash = audit_hash(record);
@@ -162,23 +166,23 @@
     return &found->second;
 }
 
-void control_state::touch_range(const std::string &service, std::uint64_t first) {
-    m_touched.push_back({m_version, service, first, no_target});
-    while (m_touched.size() > touched_limit) {
-        m_touched_from = m_touched.front().version;
-        m_touched.pop_front();
+void control_state::record_range_change(const std::string &service, std::uint64_t first) {
+    m_change_feed.push_back({m_version, service, first, no_target});
+    while (m_change_feed.size() > max_change_feed_items) {
+        m_feed_base_version = m_change_feed.front().version;
+        m_change_feed.pop_front();
     }
 }
 
-void control_state::touch_target(target_number number) {
-    touch_range({}, 0);
-    m_touched.back().number = number;
+void control_state::record_target_change(target_number number) {
+    record_range_change({}, 0);
+    m_change_feed.back().number = number;
 }
 
-error_kind control_state::apply_body(const change_table &body, const command &value, note &written,
-                                     applied &result) {
+error_kind control_state::apply_body(const change_table &body, const command &value,
+                                     audit_detail &detail, applied &result) {
     if (const auto earlier = earlier_answer(body.change_id)) {
-        // A resend after a lost answer: the first answer again, and nothing new for the audit.
+        // Resend after a lost response: returns the stored response and adds no audit record.
         result.answer = earlier;
         return error_kind::cancelled;
     }
@@ -187,15 +191,15 @@
                          .winner_actor = m_table_actor};
     std::vector<table_problem> problems;
     const std::optional<table> next = make_table(body.csv, problems);
-    written.subject = "table";
-    written.before = "version " + std::to_string(m_table_version);
+    detail.subject = "table";
+    detail.before = "version " + std::to_string(m_table_version);
     if (!next) {
         answer.error = error_kind::bad_table;
     } else if (body.base_version != m_table_version) {
         answer.error = error_kind::version_conflict;
-        written.after = "refused: based on version " + std::to_string(body.base_version);
+        detail.after = "refused: based on version " + std::to_string(body.base_version);
     } else {
-        written.before += "\n" + m_table.to_csv();
+        detail.before += "\n" + m_table.to_csv();
         m_table = *next;
         ++m_table_version;
         m_table_change_id = body.change_id;
@@ -203,7 +207,7 @@
         answer.version = m_table_version;
         answer.winner_change_id = body.change_id;
         answer.winner_actor = value.actor;
-        written.after = "version " + std::to_string(m_table_version) + "\n" + m_table.to_csv();
+        detail.after = "version " + std::to_string(m_table_version) + "\n" + m_table.to_csv();
         add_services();
     }
     remember_answer(body.change_id, answer);
@@ -213,13 +217,13 @@
 
 void control_state::remember_answer(const std::string &change_id, const change_answer &answer) {
     m_answers.emplace_back(change_id, answer);
-    if (m_answers.size() > remembered_answers) {
+    if (m_answers.size() > max_remembered_answers) {
         m_answers.pop_front();
     }
 }
 
-/// A service that leaves the table keeps its ranges: a typing error in the table must not lose
-/// the owners, and its targets go on until they stop.
+/// Services removed from the table keep their ranges: a mistake in the table must not remove the
+/// owners, and their targets continue until they stop.
 void control_state::add_services() {
     for (const std::string &service : m_table.services()) {
         add_ranges(service);
@@ -239,7 +243,7 @@
     }
     for (std::uint64_t i = 0; i < count; ++i) {
         ranges.push_back({.first = i << (64U - initial_range_bits)});
-        touch_range(service, ranges.back().first);
+        record_range_change(service, ranges.back().first);
     }
 }
 
@@ -247,13 +251,13 @@
     return m_table.has_service(service) || m_routes.services.count(service) != 0;
 }
 
-bool control_state::ordered_keys(const std::string &service) const {
+bool control_state::has_ordered_keys(const std::string &service) const {
     const auto found = m_routes.services.find(service);
     return found != m_routes.services.end() && found->second.keyed;
 }
 
-error_kind control_state::apply_body(const change_routes &body, const command &value, note &written,
-                                     applied &result) {
+error_kind control_state::apply_body(const change_routes &body, const command &value,
+                                     audit_detail &detail, applied &result) {
     if (const auto earlier = earlier_answer(body.change_id)) {
         result.answer = earlier;
         return error_kind::cancelled;
@@ -262,38 +266,39 @@
     std::string reason;
     const std::optional<routing_delta> delta = decode_delta(body.delta, reason);
     std::optional<routing_table> next = delta ? peppertack::apply(m_routes, *delta) : std::nullopt;
-    written.subject = "routes";
-    written.before = "version " + std::to_string(m_routes.version);
+    detail.subject = "routes";
+    detail.before = "version " + std::to_string(m_routes.version);
     const bool conflict = delta && (!next || body.base_version != m_routes.version ||
                                     next->version <= m_routes.version);
     if (conflict) {
         answer.error = error_kind::version_conflict;
-        written.after = "refused: version " + std::to_string(delta->version) + " based on " +
-                        std::to_string(body.base_version);
+        detail.after = "refused: version " + std::to_string(delta->version) + " based on " +
+                       std::to_string(body.base_version);
     } else if (!next || check_routing_table(*next)) {
         answer.error = error_kind::bad_table;
     } else {
         m_routes = std::move(*next);
         answer.version = m_routes.version;
         answer.winner_change_id = body.change_id;
-        written.after = "version " + std::to_string(m_routes.version) + "\n" + body.delta;
+        detail.after = "version " + std::to_string(m_routes.version) + "\n" + body.delta;
         add_services();
-        // Only what was accepted is remembered: a change that lost may be sent again on a new base.
+        // Only accepted changes are stored: a change rejected by a conflict may be resent on a new
+        // base version.
         remember_answer(body.change_id, answer);
     }
     result.answer = answer;
     return answer.error;
 }
 
-error_kind control_state::apply_body(const register_target &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const register_target &body, const command &,
+                                     audit_detail &detail, applied &) {
     if (!has_service(body.record.service)) {
         return error_kind::unknown_service;
     }
     for (const target_number number : live_targets(body.record.service)) {
         const target_record &known = m_targets.at(number);
         if (known.name == body.record.name && known.incarnation == body.record.incarnation) {
-            return error_kind::cancelled; // a repeated announcement
+            return error_kind::cancelled; // duplicate registration
         }
     }
     target_record record = body.record;
@@ -302,44 +307,45 @@
     record.standby = no_target;
     record.standby_ready = false;
     record.standby_epoch = 0;
-    written.subject = record.name;
-    written.after = dump(nlohmann::json(record));
+    detail.subject = record.name;
+    detail.after = dump(nlohmann::json(record));
     m_targets[record.number] = record;
     m_live[record.service].insert(record.number);
-    touch_target(record.number);
+    record_target_change(record.number);
     return error_kind::none;
 }
 
-void control_state::lose_owner(range_record &range, const target_record &owner,
-                               std::int64_t wall_ms) {
+void control_state::clear_lost_owner(range_record &range, const target_record &owner,
+                                     std::int64_t wall_ms) {
     range.owner = no_target;
     range.next = no_target;
     range.handover.clear();
-    // Requests to services with ordered keys carry no idempotency keys: there is nothing to
+    // Requests to services with ordered keys have no idempotency keys, so there are no records to
     // restore.
-    if (range.memory == range_memory::lost || ordered_keys(owner.service)) {
+    if (range.memory == idempotency_state::lost || has_ordered_keys(owner.service)) {
         return;
     }
     const target_record *standby = find_target(owner.standby);
     const bool kept =
         owner.standby_ready && standby != nullptr && standby->phase != target_phase::gone;
-    if (range.memory == range_memory::complete && kept) {
-        range.memory = range_memory::fetch;
+    if (range.memory == idempotency_state::complete && kept) {
+        range.memory = idempotency_state::fetch;
         range.recover_from = owner.standby;
         range.recover_of = owner.number;
         return;
     }
-    // The second loss before the first was repaired: nobody can tell a resend from a first try.
-    range.memory = range_memory::lost;
+    // Second loss before the first was recovered: resends can no longer be distinguished from first
+    // attempts.
+    range.memory = idempotency_state::lost;
     range.recover_from = no_target;
     range.recover_of = no_target;
     range.lost_at_ms = wall_ms;
 }
 
-/// Ranges, moves and standbys never cross services, so what a target's end touches is found there.
+/// Ranges that the end of a target can affect: ranges, moves and standbys never cross services.
 control_state::service_ranges &control_state::ranges_of(const target_record &record) {
-    // Services without keys have none; an entry made here would look like a service that lost its
-    // ranges.
+    // Services without keys have no ranges. An empty entry created here would be read from a
+    // snapshot as lost ranges.
     const auto found = m_ranges.find(record.service);
     return found == m_ranges.end() ? m_no_ranges : found->second;
 }
@@ -348,7 +354,7 @@
     for (range_record &range : ranges_of(record)) {
         if (range.next == record.number) {
             range.next = no_target;
-            touch_range(record.service, range.first);
+            record_range_change(record.service, range.first);
         }
     }
 }
@@ -360,7 +366,7 @@
             other.standby = no_target;
             other.standby_ready = false;
             other.standby_epoch = m_version;
-            touch_target(number);
+            record_target_change(number);
         }
     }
 }
@@ -369,24 +375,24 @@
     record.phase = target_phase::gone;
     m_live[record.service].erase(record.number);
     drop_standby_of(record);
-    touch_target(record.number);
+    record_target_change(record.number);
 }
 
-/// Ends a registration and frees its ranges; yields how many.
+/// Ends a registration and clears the owner of its ranges. Returns the number of these ranges.
 std::size_t control_state::expire(target_record &record, std::int64_t wall_ms) {
     std::size_t lost = 0;
     for (range_record &range : ranges_of(record)) {
         if (range.recover_from == record.number && range.owner != record.number) {
-            // The copy this range was to be restored from went with the standby.
-            range.memory = range_memory::lost;
+            // The standby copy from which this range was to be restored is lost.
+            range.memory = idempotency_state::lost;
             range.recover_from = no_target;
             range.recover_of = no_target;
             range.lost_at_ms = wall_ms;
-            touch_range(record.service, range.first);
+            record_range_change(record.service, range.first);
         }
         if (range.owner == record.number) {
-            lose_owner(range, record, wall_ms);
-            touch_range(record.service, range.first);
+            clear_lost_owner(range, record, wall_ms);
+            record_range_change(record.service, range.first);
             ++lost;
         }
     }
@@ -396,7 +402,7 @@
 }
 
 error_kind control_state::apply_body(const expire_targets &body, const command &value,
-                                     note &written, applied &) {
+                                     audit_detail &detail, applied &) {
     nlohmann::json ended = nlohmann::json::array();
     std::size_t lost = 0;
     for (const target_number number : body.numbers) {
@@ -416,22 +422,22 @@
         return error_kind::not_found;
     }
     prune_targets();
-    written.subject = ended.size() == 1 ? ended[0]["name"].get<std::string>()
-                                        : std::to_string(ended.size()) + " targets";
-    written.before = dump(ended);
-    written.after = std::to_string(lost) + " ranges without an owner";
+    detail.subject = ended.size() == 1 ? ended[0]["name"].get<std::string>()
+                                       : std::to_string(ended.size()) + " targets";
+    detail.before = dump(ended);
+    detail.after = std::to_string(lost) + " ranges without an owner";
     return error_kind::none;
 }
 
-/// Forgets registrations that ended long ago and that no range refers to. Every restart makes one,
-/// so without this the state would grow by 390 records a day.
+/// Removes registrations that ended long ago and to which no range refers. Each restart creates
+/// one, so the state would otherwise grow by 390 records a day.
 void control_state::prune_targets() {
     std::size_t live = 0;
     for (const auto &[service, numbers] : m_live) {
         live += numbers.size();
     }
     std::size_t ended = m_targets.size() - live;
-    if (ended <= kept_ended_targets) {
+    if (ended <= max_ended_targets) {
         return;
     }
     std::set<target_number> used;
@@ -440,15 +446,15 @@
             used.insert({range.owner, range.next, range.recover_from, range.recover_of});
         }
     }
-    for (auto at = m_targets.begin(); at != m_targets.end() && ended > kept_ended_targets / 2;) {
+    for (auto at = m_targets.begin(); at != m_targets.end() && ended > max_ended_targets / 2;) {
         const bool removable = at->second.phase == target_phase::gone && used.count(at->first) == 0;
         at = removable ? m_targets.erase(at) : std::next(at);
         ended -= removable ? 1 : 0;
     }
 }
 
-error_kind control_state::apply_body(const drain_target &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const drain_target &body, const command &,
+                                     audit_detail &detail, applied &) {
     target_record *record = live_target(body.number);
     if (record == nullptr) {
         return error_kind::not_found;
@@ -458,15 +464,15 @@
     }
     record->phase = target_phase::draining;
     cancel_moves_to(*record);
-    touch_target(body.number);
-    written.subject = record->name;
-    written.before = "serving";
-    written.after = "draining";
+    record_target_change(body.number);
+    detail.subject = record->name;
+    detail.before = "serving";
+    detail.after = "draining";
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const retire_target &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const retire_target &body, const command &,
+                                     audit_detail &detail, applied &) {
     target_record *record = live_target(body.number);
     if (record == nullptr) {
         return error_kind::not_found;
@@ -476,15 +482,15 @@
             return error_kind::cancelled;
         }
     }
-    written.subject = record->name;
-    written.before = "draining";
-    written.after = "gone";
+    detail.subject = record->name;
+    detail.before = "draining";
+    detail.after = "gone";
     end_target(*record);
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const grant_ranges &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const grant_ranges &body, const command &,
+                                     audit_detail &detail, applied &) {
     std::vector<range_choice> done;
     for (const range_choice &choice : body.choices) {
         range_record *range = range_at(body.service, choice.first);
@@ -495,16 +501,16 @@
         }
         range->owner = choice.to;
         range->token = m_version;
-        touch_range(body.service, range->first);
+        record_range_change(body.service, range->first);
         done.push_back(choice);
     }
-    written.subject = body.service;
-    written.before = "no owner";
-    written.after = choices_text(done);
+    detail.subject = body.service;
+    detail.before = "no owner";
+    detail.after = choices_text(done);
     return done.empty() ? error_kind::cancelled : error_kind::none;
 }
 
-error_kind control_state::apply_body(const plan_moves &body, const command &, note &written,
+error_kind control_state::apply_body(const plan_moves &body, const command &, audit_detail &detail,
                                      applied &) {
     std::vector<range_choice> before;
     std::vector<range_choice> done;
@@ -519,39 +525,39 @@
         }
         before.push_back({range->first, range->owner});
         range->next = choice.to;
-        touch_range(body.service, range->first);
+        record_range_change(body.service, range->first);
         done.push_back(choice);
     }
-    written.subject = body.service;
-    written.before = choices_text(before);
-    written.after = choices_text(done);
+    detail.subject = body.service;
+    detail.before = choices_text(before);
+    detail.after = choices_text(done);
     return done.empty() ? error_kind::cancelled : error_kind::none;
 }
 
-error_kind control_state::apply_body(const release_range &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const release_range &body, const command &,
+                                     audit_detail &detail, applied &) {
     range_record *range = range_at(body.service, body.first);
     if (range == nullptr || range->token != body.token || range->owner == no_target ||
         body.to == no_target || range->next != body.to) {
         return error_kind::cancelled;
     }
-    written.subject = range_subject(body.service, body.first);
-    written.before = dump(nlohmann::json(*range));
+    detail.subject = range_subject(body.service, body.first);
+    detail.before = dump(nlohmann::json(*range));
     range->owner = range->next;
     range->next = no_target;
     range->token = m_version;
     range->handover = body.handover;
-    if (range->memory == range_memory::fetch) {
-        range->memory = range_memory::complete;
+    if (range->memory == idempotency_state::fetch) {
+        range->memory = idempotency_state::complete;
         range->recover_from = no_target;
         range->recover_of = no_target;
     }
-    touch_range(body.service, range->first);
-    written.after = dump(nlohmann::json(*range));
+    record_range_change(body.service, range->first);
+    detail.after = dump(nlohmann::json(*range));
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const split_range &body, const command &, note &written,
+error_kind control_state::apply_body(const split_range &body, const command &, audit_detail &detail,
                                      applied &) {
     const auto found = m_ranges.find(body.service);
     if (found == m_ranges.end()) {
@@ -563,15 +569,15 @@
     }
     range_record upper = *place;
     upper.first = body.at;
-    written.subject = range_subject(body.service, place->first);
-    written.after = "cut at " + std::to_string(body.at);
-    touch_range(body.service, place->first);
-    touch_range(body.service, body.at);
+    detail.subject = range_subject(body.service, place->first);
+    detail.after = "cut at " + std::to_string(body.at);
+    record_range_change(body.service, place->first);
+    record_range_change(body.service, body.at);
     found->second.insert(std::next(place), upper);
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const merge_range &body, const command &, note &written,
+error_kind control_state::apply_body(const merge_range &body, const command &, audit_detail &detail,
                                      applied &) {
     const auto found = m_ranges.find(body.service);
     if (found == m_ranges.end() || body.first == 0) {
@@ -583,21 +589,21 @@
     }
     range_record &lower = *std::prev(place);
     const bool settled = lower.next == no_target && place->next == no_target &&
-                         lower.memory == range_memory::complete &&
-                         place->memory == range_memory::complete;
+                         lower.memory == idempotency_state::complete &&
+                         place->memory == idempotency_state::complete;
     if (lower.owner != place->owner || !settled) {
         return error_kind::cancelled;
     }
     lower.token = std::max(lower.token, place->token);
-    written.subject = range_subject(body.service, body.first);
-    written.after = "joined to " + std::to_string(std::prev(place)->first);
-    touch_range(body.service, body.first);
-    touch_range(body.service, std::prev(place)->first);
+    detail.subject = range_subject(body.service, body.first);
+    detail.after = "joined to " + std::to_string(std::prev(place)->first);
+    record_range_change(body.service, body.first);
+    record_range_change(body.service, std::prev(place)->first);
     found->second.erase(place);
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const set_standby &body, const command &, note &written,
+error_kind control_state::apply_body(const set_standby &body, const command &, audit_detail &detail,
                                      applied &) {
     target_record *record = live_target(body.number);
     if (record == nullptr || body.standby == body.number) {
@@ -607,77 +613,77 @@
     if (body.standby != no_target && standby == nullptr) {
         return error_kind::cancelled;
     }
-    // A copy may only be declared complete for the standby that is in force now.
+    // Only the copy of the current standby can be marked complete.
     if (body.ready && (record->standby != body.standby || record->standby_epoch != body.epoch)) {
         return error_kind::cancelled;
     }
     if (record->standby == body.standby && record->standby_ready == body.ready) {
         return error_kind::cancelled;
     }
-    written.subject = record->name;
-    written.before = std::to_string(record->standby) + (record->standby_ready ? " ready" : "");
+    detail.subject = record->name;
+    detail.before = std::to_string(record->standby) + (record->standby_ready ? " ready" : "");
     record->standby = body.standby;
     record->standby_ready = body.ready;
     record->standby_epoch = body.ready ? body.epoch : m_version;
-    written.after = std::to_string(record->standby) + (record->standby_ready ? " ready" : "");
-    touch_target(body.number);
+    detail.after = std::to_string(record->standby) + (record->standby_ready ? " ready" : "");
+    record_target_change(body.number);
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const restore_memory &body, const command &, note &written,
-                                     applied &) {
+error_kind control_state::apply_body(const restore_memory &body, const command &,
+                                     audit_detail &detail, applied &) {
     range_record *range = range_at(body.service, body.first);
-    const bool unchanged = range != nullptr && range->token == body.token &&
-                           range->owner == body.owner && range->memory == body.was;
-    if (!unchanged || range->memory == range_memory::complete) {
+    const bool still_current = range != nullptr && range->token == body.token &&
+                               range->owner == body.owner && range->memory == body.was;
+    if (!still_current || range->memory == idempotency_state::complete) {
         return error_kind::cancelled;
     }
-    written.subject = range_subject(body.service, body.first);
-    written.before = dump(nlohmann::json(range->memory));
-    written.after = "complete";
-    range->memory = range_memory::complete;
+    detail.subject = range_subject(body.service, body.first);
+    detail.before = dump(nlohmann::json(range->memory));
+    detail.after = "complete";
+    range->memory = idempotency_state::complete;
     range->recover_from = no_target;
     range->recover_of = no_target;
     range->lost_at_ms = 0;
-    touch_range(body.service, range->first);
+    record_range_change(body.service, range->first);
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const report_crash &body, const command &value, note &written,
-                                     applied &) {
-    if (m_crashes.knows(body.life)) {
-        return error_kind::cancelled; // a repeated report
+error_kind control_state::apply_body(const report_crash &body, const command &value,
+                                     audit_detail &detail, applied &) {
+    if (m_crash_history.has_recorded(body.life)) {
+        return error_kind::cancelled; // duplicate report
     }
-    const std::vector<suspect_request> listed = m_crashes.listed();
+    const std::vector<suspect_request> listed = m_crash_history.listed();
     const std::vector<std::uint64_t> quarantined =
-        m_crashes.note_end(body.life, body.running, value.wall_ms);
-    if (m_crashes.listed() != listed) {
+        m_crash_history.record_crash(body.life, body.running, value.wall_ms);
+    if (m_crash_history.listed() != listed) {
         m_suspects_version = m_version;
     }
-    written.subject = body.target;
-    written.before = "running: " + fingerprints_text(body.running);
-    written.after =
+    detail.subject = body.target;
+    detail.before = "running: " + fingerprints_text(body.running);
+    detail.after =
         quarantined.empty() ? "none quarantined" : "quarantined: " + fingerprints_text(quarantined);
     return error_kind::none;
 }
 
-error_kind control_state::apply_body(const clear_suspects &body, const command &, note &written,
-                                     applied &) {
-    const std::vector<suspect_request> listed = m_crashes.listed();
+error_kind control_state::apply_body(const clear_suspects &body, const command &,
+                                     audit_detail &detail, applied &) {
+    const std::vector<suspect_request> listed = m_crash_history.listed();
     std::vector<std::uint64_t> cleared;
     for (const std::uint64_t fingerprint : body.fingerprints) {
-        const bool known = body.probation ? m_crashes.put_on_probation(fingerprint)
-                                          : m_crashes.acquit(fingerprint);
+        const bool known = body.probation ? m_crash_history.put_on_probation(fingerprint)
+                                          : m_crash_history.remove_suspect(fingerprint);
         if (known) {
             cleared.push_back(fingerprint);
         }
     }
-    if (m_crashes.listed() != listed) {
+    if (m_crash_history.listed() != listed) {
         m_suspects_version = m_version;
     }
-    written.subject = "suspect requests";
-    written.before = fingerprints_text(cleared);
-    written.after = body.probation ? "on probation" : "cleared";
+    detail.subject = "suspect requests";
+    detail.before = fingerprints_text(cleared);
+    detail.after = body.probation ? "on probation" : "cleared";
     return cleared.empty() ? error_kind::cancelled : error_kind::none;
 }
 
@@ -697,8 +703,8 @@
                               {"last_number", m_last_number},
                               {"ranges", m_ranges},
                               {"answers", m_answers},
-                              {"crashes", m_crashes.entries()},
-                              {"crashed_lives", m_crashes.known_lives()},
+                              {"crashes", m_crash_history.entries()},
+                              {"crashed_lives", m_crash_history.recorded_incarnations()},
                               {"suspects_version", m_suspects_version},
                               {"audit", m_audit}};
     return dump(json);
@@ -726,7 +732,7 @@
         json.at("table_version").get_to(state.m_table_version);
         json.at("table_change_id").get_to(state.m_table_change_id);
         json.at("table_actor").get_to(state.m_table_actor);
-        // Snapshots written before there was a routing table hold none.
+        // Snapshots of earlier versions contain no routing table.
         if (const std::string routing = json.value("routes", ""); !routing.empty()) {
             std::optional<routing_table> read = decode_routing_table(routing, reason);
             if (!read) {
@@ -746,14 +752,14 @@
         json.at("ranges").get_to(state.m_ranges);
         json.at("answers").get_to(state.m_answers);
         json.at("audit").get_to(state.m_audit);
-        // Snapshots written before ends of targets were recorded hold none.
+        // Snapshots of earlier versions contain no crash history.
         if (json.contains("crashes")) {
-            state.m_crashes = crash_ledger::restored(
+            state.m_crash_history = crash_history::restored(
                 json.at("crashes").get<std::map<std::uint64_t, suspect_record>>(),
                 json.at("crashed_lives").get<std::deque<std::uint64_t>>());
             json.at("suspects_version").get_to(state.m_suspects_version);
         }
-        state.m_touched_from = state.m_version;
+        state.m_feed_base_version = state.m_version;
         for (const auto &[service, ranges] : state.m_ranges) {
             const bool sorted = std::is_sorted(
                 ranges.begin(), ranges.end(),
--- a/src/state/durable_log.cpp
+++ b/src/state/durable_log.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-// A file is a sequence of frames:
+// A log file is a sequence of frames:
 //
-//   | mark 4 | version 1 | body size 4 | checksum 8 | body ... |
+//   | magic 4 | version 1 | body size 4 | checksum 8 | body ... |
 //
-// One write holds one frame and one sync covers it, so at most the last frame can be torn. The
-// checksum covers version, size and body. Numbers are little endian.
+// Each write is one frame with one sync, so at most the last frame can be torn. The checksum covers
+// version, size and body. Numbers are little endian.
 constexpr std::string_view frame_mark = "PTL\x1f";
 constexpr std::uint8_t frame_version = 1;
 constexpr std::size_t header_size = 4 + 1 + 4 + 8;
 constexpr std::size_t max_body = 1U << 30U;
-constexpr std::size_t most_bytes_a_write = 16U << 20U;
+constexpr std::size_t max_write_bytes = 16U << 20U;
 constexpr const char *snapshot_file = "snapshot";
 constexpr const char *log_prefix = "log-";
 
@@ -89,7 +89,7 @@
     return frame;
 }
 
-enum class frame_state { whole, torn, damaged, foreign };
+enum class frame_state { valid, torn, damaged, unsupported_version };
 
 struct frame {
     frame_state state = frame_state::torn;
@@ -116,17 +116,17 @@
         return {.state = frame_state::damaged};
     }
     if (version != frame_version) {
-        return {.state = frame_state::foreign};
+        return {.state = frame_state::unsupported_version};
     }
-    return {.state = frame_state::whole, .body = body, .size = header_size + size};
+    return {.state = frame_state::valid, .body = body, .size = header_size + size};
 }
 
-/// Is there a whole frame anywhere behind a bad one? Only the last write can be torn, so a whole
-/// frame behind it means that synced bytes were damaged.
-bool whole_frame_follows(std::string_view bytes) {
+/// Whether a valid frame follows an invalid one. Only the last write can be torn, so a valid frame
+/// after an invalid one means that synced data was damaged.
+bool valid_frame_follows(std::string_view bytes) {
     for (std::size_t at = bytes.find(frame_mark, 1); at != std::string_view::npos;
          at = bytes.find(frame_mark, at + 1)) {
-        if (read_frame(bytes.substr(at)).state == frame_state::whole) {
+        if (read_frame(bytes.substr(at)).state == frame_state::valid) {
             return true;
         }
     }
@@ -156,7 +156,8 @@
     return body;
 }
 
-/// The vote goes first: without it a restart could vote twice in one term.
+/// The vote is written first: if it were missing, a voter could vote twice in one term after a
+/// restart.
 std::string file_records(const vote_record &vote, const std::deque<log_entry> &entries) {
     std::string records;
     put_vote(records, vote);
@@ -217,19 +218,20 @@
     if (!log.load(failure)) {
         return std::nullopt;
     }
-    if (!log.holds_promises_of(failed)) {
-        failure = {.reason =
-                       "the disk holds less than was promised; replace this voter by a new one"};
+    if (!log.holds_durable_state_of(failed)) {
+        failure = {.reason = "the disk lacks data that this voter acknowledged; replace this voter "
+                             "by a new one"};
         return std::nullopt;
     }
-    // What was read may be in the kernel's memory only: pages that a failed sync dropped are read
-    // as written and never reach the disk, whatever later syncs say. New files have no such pages.
-    log_write write = log.first_write();
+    // The data read may exist only in the page cache: pages that a failed sync dropped read back as
+    // written but never reach the disk, whatever later syncs report. New files contain no such
+    // pages.
+    log_write write = log.initial_write();
     if (log.m_snapshot) {
         write.snapshot = encode(*log.m_snapshot);
     }
-    if (!log.write_first(write)) {
-        failure = {.reason = log.m_reason, .may_pass = true};
+    if (!log.write_initial(write)) {
+        failure = {.reason = log.m_reason, .retryable = true};
         return std::nullopt;
     }
     log.m_durable = {
@@ -237,10 +239,10 @@
     return log;
 }
 
-/// The write that failed may have reached the disk, so there may be more than was promised: a later
-/// vote, or entries of a later term in place of some. Less would mean that a vote can be given
-/// twice or that an acknowledged entry is gone.
-bool durable_log::holds_promises_of(const durable_log &earlier) const {
+/// The failed write may have reached the disk, so the disk may hold more than was acknowledged: a
+/// later vote, or entries of a later term in place of others. Holding less would mean that a vote
+/// could be given twice or that an acknowledged entry is lost.
+bool durable_log::holds_durable_state_of(const durable_log &earlier) const {
     const vote_record &promised = earlier.m_durable.vote;
     const bool same_term = m_vote.term == promised.term;
     const bool vote_held = m_vote.term > promised.term || m_vote == promised ||
@@ -248,34 +250,34 @@
     if (!vote_held || m_base_index < earlier.m_durable.base_index) {
         return false;
     }
-    // What a snapshot covers that was still to be written can't be compared any more.
+    // Entries covered by a snapshot that was not written yet can no longer be compared.
     std::uint64_t index = std::max(m_base_index, earlier.m_base_index);
     for (; index <= earlier.m_durable.last_index; ++index) {
         const std::optional<std::uint64_t> held = term_at(index);
         const std::uint64_t wanted = earlier.term_at(index).value_or(0);
         if (held != wanted) {
-            return held > wanted; // nothing is less than any term
+            return held > wanted; // nullopt compares less than any term
         }
     }
     return true;
 }
 
-bool durable_log::refused_by_disk(const std::string &what, open_failure &failure) const {
-    failure = {.reason = what + ": " + m_files->last_reason(), .may_pass = true};
+bool durable_log::set_disk_error(const std::string &what, open_failure &failure) const {
+    failure = {.reason = what + ": " + m_files->last_reason(), .retryable = true};
     return false;
 }
 
 bool durable_log::load(open_failure &failure) {
     const std::optional<std::vector<std::string>> names = m_files->list();
     if (!names) {
-        return refused_by_disk("can't read the data folder", failure);
+        return set_disk_error("can't read the data folder", failure);
     }
     const bool has_snapshot = std::binary_search(names->begin(), names->end(), snapshot_file);
     if (has_snapshot && !load_snapshot(failure)) {
         return false;
     }
-    // A crash between storing a snapshot and starting its file leaves the older file as the newest
-    // one; its entries that the snapshot covers are passed over while reading.
+    // After a crash between storing a snapshot and creating its log file, the newest file is the
+    // previous one; the entries in it that the snapshot covers are skipped while loading.
     std::vector<std::string> logs;
     for (const std::string &name : *names) {
         if (name.rfind(log_prefix, 0) == 0) {
@@ -283,8 +285,8 @@
         }
     }
     if (logs.empty()) {
-        if (!write_first(first_write())) {
-            failure = {.reason = m_reason, .may_pass = true};
+        if (!write_initial(initial_write())) {
+            failure = {.reason = m_reason, .retryable = true};
             return false;
         }
         return true;
@@ -303,21 +305,21 @@
 bool durable_log::load_snapshot(open_failure &failure) {
     const std::optional<std::string> bytes = m_files->read(snapshot_file);
     if (!bytes) {
-        return refused_by_disk(std::string("can't read ") + snapshot_file, failure);
+        return set_disk_error(std::string("can't read ") + snapshot_file, failure);
     }
-    const frame whole = read_frame(*bytes);
-    if (whole.state != frame_state::whole) {
+    const frame valid = read_frame(*bytes);
+    if (valid.state != frame_state::valid) {
         failure = {.reason = "the snapshot file is damaged; replace this voter by a new one"};
         return false;
     }
-    reader in(whole.body);
+    reader in(valid.body);
     log_snapshot snapshot;
     snapshot.index = in.number<std::uint64_t>();
     snapshot.term = in.number<std::uint64_t>();
     snapshot.members = in.text();
     snapshot.state = in.text();
     if (!in.ok() || !in.at_end()) {
-        failure = {.reason = "the snapshot file has an unknown form"};
+        failure = {.reason = "the snapshot file has an unknown format"};
         return false;
     }
     m_base_index = snapshot.index;
@@ -329,19 +331,19 @@
 bool durable_log::load_file(const std::string &name, open_failure &failure) {
     const std::optional<std::string> bytes = m_files->read(name);
     if (!bytes) {
-        return refused_by_disk("can't read " + name, failure);
+        return set_disk_error("can't read " + name, failure);
     }
     std::size_t at = 0;
     while (at < bytes->size()) {
         const std::string_view rest = std::string_view(*bytes).substr(at);
         const frame next = read_frame(rest);
-        if (next.state == frame_state::foreign) {
+        if (next.state == frame_state::unsupported_version) {
             failure = {.reason = name + " at byte " + std::to_string(at) +
                                  ": frame version not supported"};
             return false;
         }
-        if (next.state != frame_state::whole) {
-            if (whole_frame_follows(rest)) {
+        if (next.state != frame_state::valid) {
+            if (valid_frame_follows(rest)) {
                 failure = {.reason = name + " is damaged at byte " + std::to_string(at) +
                                      " before its end; replace this voter by a new one"};
                 return false;
@@ -349,19 +351,19 @@
             break;
         }
         std::string reason;
-        if (!take_frame(next.body, reason)) {
+        if (!load_frame(next.body, reason)) {
             failure = {.reason = reason.insert(0, name + " at byte " + std::to_string(at) + ": ")};
             return false;
         }
         at += next.size;
     }
     if (at < bytes->size() && !m_files->truncate(name, at)) {
-        return refused_by_disk("can't cut the torn tail of " + name, failure);
+        return set_disk_error("can't truncate the torn tail of " + name, failure);
     }
     return true;
 }
 
-bool durable_log::take_frame(std::string_view body, std::string &reason) {
+bool durable_log::load_frame(std::string_view body, std::string &reason) {
     reader in(body);
     while (in.ok() && !in.at_end()) {
         const auto kind = static_cast<record_kind>(in.number<std::uint8_t>());
@@ -374,34 +376,35 @@
             entry.term = in.number<std::uint64_t>();
             entry.kind = static_cast<entry_kind>(in.number<std::uint8_t>());
             entry.payload = in.text();
-            if (in.ok() && !take_entry(std::move(entry), reason)) {
+            if (in.ok() && !load_entry(std::move(entry), reason)) {
                 return false;
             }
         } else {
-            reason = "unknown kind of record";
+            reason = "unknown record kind";
             return false;
         }
     }
     if (!in.ok()) {
-        reason = "a record is shorter than it says";
+        reason = "a record is truncated: the frame ends before its last field";
     }
     return in.ok();
 }
 
-bool durable_log::take_entry(log_entry entry, std::string &reason) {
+bool durable_log::load_entry(log_entry entry, std::string &reason) {
     if (entry.index <= m_base_index) {
-        // It replaced all behind it, and what follows another entry than the snapshot's last one
-        // is of another history. Kept, either would let the log end in an earlier term than it
-        // does, and a candidate that lacks committed entries would be given this vote.
+        // This entry replaced all entries after it, and entries that follow a different entry than
+        // the snapshot's last one belong to another history. Keeping either could make the log
+        // appear to end in an earlier term, and this voter would vote for a candidate that lacks
+        // committed entries.
         m_entries.clear();
-        m_behind_snapshot = entry.index < m_base_index || entry.term == m_base_term;
+        m_follows_snapshot = entry.index < m_base_index || entry.term == m_base_term;
         return true;
     }
-    if (!m_behind_snapshot) {
+    if (!m_follows_snapshot) {
         return true;
     }
     if (entry.index > last_index() + 1) {
-        reason = "entry " + std::to_string(entry.index) + " follows entry " +
+        reason = "entry " + std::to_string(entry.index) + " is not contiguous with entry " +
                  std::to_string(last_index());
         return false;
     }
@@ -432,7 +435,7 @@
         return false;
     }
     m_vote = vote;
-    note_staged();
+    record_position();
     return true;
 }
 
@@ -449,7 +452,7 @@
     truncate_positions(entries.front().index - 1);
     m_entries.resize(entries.front().index - m_base_index - 1);
     m_entries.insert(m_entries.end(), entries.begin(), entries.end());
-    note_staged();
+    record_position();
     return true;
 }
 
@@ -457,9 +460,9 @@
     if (m_failed || snapshot.index <= m_base_index) {
         return !m_failed;
     }
-    const bool keeps_tail = term_at(snapshot.index) == snapshot.term;
+    const bool retains_tail = term_at(snapshot.index) == snapshot.term;
     std::deque<log_entry> kept;
-    if (keeps_tail) {
+    if (retains_tail) {
         const auto covered = static_cast<std::ptrdiff_t>(snapshot.index - m_base_index);
         kept.assign(m_entries.begin() + covered, m_entries.end());
     }
@@ -474,7 +477,7 @@
     if (!stage(std::move(write))) {
         return false;
     }
-    if (!keeps_tail) {
+    if (!retains_tail) {
         truncate_positions(m_base_index);
     }
     m_entries = std::move(kept);
@@ -482,12 +485,12 @@
     m_base_term = snapshot.term;
     m_snapshot = snapshot;
     m_file = file;
-    note_staged();
+    record_position();
     return true;
 }
 
-/// The file that follows the snapshot, as it is begun.
-log_write durable_log::first_write() {
+/// Initial content of the log file that follows the snapshot.
+log_write durable_log::initial_write() {
     log_write write{.file = file_name(m_base_index),
                     .records = file_records(m_vote, m_entries),
                     .begins_file = true};
@@ -497,7 +500,7 @@
     return write;
 }
 
-bool durable_log::write_first(const log_write &write) {
+bool durable_log::write_initial(const log_write &write) {
     const write_outcome outcome = perform(write, *m_files, true);
     m_file = write.file;
     return outcome.written || fail(outcome.reason);
@@ -507,10 +510,10 @@
 
 bool durable_log::stage_records(std::string records) {
     if (m_writes.empty() || m_writes.back().begins_file ||
-        m_writes.back().records.size() + records.size() > most_bytes_a_write) {
+        m_writes.back().records.size() + records.size() > max_write_bytes) {
         return stage({.file = m_file, .records = std::move(records)});
     }
-    // One frame, so that still only the last one can be torn.
+    // Kept in one frame, so that only the last frame of the file can be torn.
     m_writes.back().records += records;
     m_writes.back().number = ++m_staged;
     return true;
@@ -525,11 +528,11 @@
     if (m_options.write_behind) {
         return true;
     }
-    note_written(perform(*take_write(), *m_files, m_options.sync_writes));
+    end_write(perform(*begin_write(), *m_files, m_options.sync_writes));
     return !m_failed;
 }
 
-std::optional<log_write> durable_log::take_write() {
+std::optional<log_write> durable_log::begin_write() {
     if (m_writing || m_failed || m_writes.empty()) {
         return std::nullopt;
     }
@@ -540,33 +543,33 @@
     return write;
 }
 
-void durable_log::note_written(const write_outcome &outcome) {
+void durable_log::end_write(const write_outcome &outcome) {
     m_writing = false;
     if (!outcome.written) {
         fail(outcome.reason);
         return;
     }
     m_written = m_writing_up_to;
-    note_durable();
+    advance_durable();
 }
 
-void durable_log::note_staged() {
+void durable_log::record_position() {
     m_positions.push_back({.number = m_staged,
                            .vote = m_vote,
                            .base_index = m_base_index,
                            .last_index = last_index()});
-    note_durable();
+    advance_durable();
 }
 
-void durable_log::note_durable() {
+void durable_log::advance_durable() {
     while (!m_positions.empty() && m_positions.front().number <= m_written) {
         m_durable = std::move(m_positions.front());
         m_positions.pop_front();
     }
 }
 
-/// Entries behind `last_index` are replaced: that their old versions become durable counts for
-/// nothing.
+/// Entries after `last_index` are replaced, so syncs of their previous versions no longer make them
+/// durable.
 void durable_log::truncate_positions(std::uint64_t last_index) {
     m_durable.last_index = std::min(m_durable.last_index, last_index);
     for (position &item : m_positions) {
@@ -574,8 +577,8 @@
     }
 }
 
-/// After a failed sync the kernel may have dropped the pages: what is on the disk is not known, so
-/// no later success can be believed.
+/// After a failed sync the kernel may have dropped dirty pages: the content of the disk is unknown,
+/// so later successful syncs prove nothing.
 bool durable_log::fail(const std::string &reason) {
     m_failed = true;
     m_writes.clear();
--- a/src/transport/control_host.cpp
+++ b/src/transport/control_host.cpp
@@ -114,7 +114,7 @@
                 }
                 // Also a refusal must come from the leader: one that was replaced without noticing
                 // would refuse what builds on changes it has not seen.
-                const std::uint64_t ticket = core.prove_leadership(read_clocks());
+                const std::uint64_t ticket = core.confirm_leadership(read_clocks());
                 m_waiting[ticket] = [this, change = std::move(change),
                                      done = std::move(done)](const submit_answer &proof) {
                     if (proof.error != error_kind::none) {
@@ -128,7 +128,7 @@
 
     void read_routes(std::function<void(routes_answer)> done) {
         post([this, done = std::move(done)](control_core &core) mutable {
-            const std::uint64_t ticket = core.prove_leadership(read_clocks());
+            const std::uint64_t ticket = core.confirm_leadership(read_clocks());
             m_waiting[ticket] = [this, done = std::move(done)](const submit_answer &proof) {
                 routes_answer answer{.error = proof.error, .leader = part().replication().leader()};
                 if (proof.error == error_kind::none) {
@@ -284,20 +284,20 @@
 
     void tend_disk() {
         const moment at = read_clocks();
-        tell_disk_news(m_voter->tend_disk(at), at);
+        tell_disk_news(m_voter->check_disk(at), at);
         start_disk_task();
     }
 
-    void tell_disk_news(durable_voter::disk_news news, moment at) {
+    void tell_disk_news(durable_voter::disk_event news, moment at) {
         switch (news) {
-        case durable_voter::disk_news::none: break;
-        case durable_voter::disk_news::lost:
-        case durable_voter::disk_news::damaged: tell_role(m_voter->last_reason()); break;
-        case durable_voter::disk_news::back:
+        case durable_voter::disk_event::none: break;
+        case durable_voter::disk_event::failed:
+        case durable_voter::disk_event::damaged: tell_role(m_voter->last_reason()); break;
+        case durable_voter::disk_event::recovered:
             give_up_waiting();
             tell_role("the disk takes writes again, after " +
-                      std::to_string(m_voter->away(at) / std::chrono::milliseconds(1)) +
-                      " ms and " + std::to_string(m_voter->tries()) + " tries");
+                      std::to_string(m_voter->outage_duration(at) / std::chrono::milliseconds(1)) +
+                      " ms and " + std::to_string(m_voter->reopen_attempts()) + " tries");
             break;
         }
     }
@@ -367,7 +367,7 @@
         return nullptr;
     }
     std::optional<audit_log> audit =
-        audit_log::open(*files, {.kept_segments = settings.audit_segments}, reason);
+        audit_log::open(*files, {.max_segments = settings.audit_segments}, reason);
     if (!audit) {
         return nullptr;
     }
@@ -550,7 +550,7 @@
             for (const range_record &range : ranges) {
                 unowned += range.owner == no_target ? 1 : 0;
                 moving += range.next != no_target ? 1 : 0;
-                memory_lost += range.memory == range_memory::lost ? 1 : 0;
+                memory_lost += range.memory == idempotency_state::lost ? 1 : 0;
             }
             services[service] = {{"ranges", ranges.size()},
                                  {"without_owner", unowned},
@@ -605,7 +605,7 @@
         nlohmann::json list = nlohmann::json::array();
         for (const auto &[fingerprint, suspect] : core.state().crashes().entries()) {
             list.push_back({{"fingerprint", fingerprint_text(fingerprint)},
-                            {"ends", suspect.lives.size()},
+                            {"ends", suspect.crashed_incarnations.size()},
                             {"last_end_ms", suspect.seen_ms},
                             {"quarantined", suspect.quarantined}});
         }
--- a/src/transport/traffic/entry_relay.cpp
+++ b/src/transport/traffic/entry_relay.cpp
@@ -84,7 +84,7 @@
         return;
     }
     m_host.note_request(m_service);
-    m_host.meter().note_offered(admission(), m_received);
+    m_host.meter().record_offered(admission(), m_received);
 }
 
 bool entry_relay::read_route() {
@@ -129,7 +129,7 @@
     }
     const std::string *text = m_caller->request().find(m_host.options().headers.key);
     const auto number = text == nullptr ? std::nullopt : parse_decimal(*text);
-    if (!number || *number > most_ordered_key) {
+    if (!number || *number > max_ordered_key) {
         deny_by_table(error_kind::malformed_request); // another table may ask for no key
         return false;
     }
@@ -227,7 +227,7 @@
     if (m_fingerprint == 0) {
         m_fingerprint = fingerprint();
     }
-    if (m_host.agent().lease().suspects().quarantines(m_fingerprint)) {
+    if (m_host.agent().lease().suspects().is_quarantined(m_fingerprint)) {
         refuse(error_kind::quarantined, outcome::not_run, quarantine_retry_after);
         return;
     }
@@ -277,7 +277,7 @@
     m_sent = now;
     m_hop_known = false;
     m_answer_body.clear();
-    m_host.selector().sent(m_target);
+    m_host.selector().record_sent(m_target);
     m_call = m_host.pool().start(m_host.forward_address(target.address), head, weak_from_this());
     m_body.attach(m_call, announced);
 }
@@ -317,7 +317,7 @@
             m_caller->abort();
             done();
         } else if (m_call) {
-            m_host.selector().ended(m_target, call_end::failed, now);
+            m_host.selector().record_outcome(m_target, call_outcome::failed, now);
             refuse(error_kind::deadline_after_target, outcome::unknown, {});
         } else {
             refuse(error_kind::deadline_before_target, outcome::not_run, usual_retry_after);
@@ -348,10 +348,10 @@
     m_hop_known = told.has_value();
     m_hop = told.value_or(hop_reply{});
     if (m_hop_known) {
-        m_host.selector().note(m_target, m_hop.load, now, m_route.name);
+        m_host.selector().record_load(m_target, m_hop.load, now, m_route.name);
     }
     if (m_hop.level && m_hop.refused == error_kind::none) {
-        m_host.dependencies().note_taken(m_route.name, *m_hop.level, now);
+        m_host.dependencies().record_accepted(m_route.name, *m_hop.level, now);
     }
     m_answer = std::move(head);
     remove_header(m_answer.headers, hop_header);
@@ -397,7 +397,7 @@
     m_body.detach();
     m_call.reset();
     if (!m_hop_known) {
-        m_host.selector().ended(m_target, call_end::failed, now);
+        m_host.selector().record_outcome(m_target, call_outcome::failed, now);
         after_unknown(error_kind::target_lost, now);
     } else if (m_hop.refused != error_kind::none) {
         // A full target does its part; one that is gone does not.
@@ -407,14 +407,16 @@
                           m_hop.refused == error_kind::owner_unreachable ||
                           m_hop.refused == error_kind::not_ready ||
                           m_hop.refused == error_kind::not_owner;
-        m_host.selector().ended(m_target, gone ? call_end::unreachable : call_end::served, now);
+        m_host.selector().record_outcome(
+            m_target, gone ? call_outcome::unreachable : call_outcome::served, now);
         after_not_run(m_hop.refused, m_hop.retry_after, now);
     } else if (m_hop.may_have_run) {
-        m_host.selector().ended(m_target, call_end::failed, now);
+        m_host.selector().record_outcome(m_target, call_outcome::failed, now);
         after_unknown(error_kind::target_lost, now);
     } else {
         const bool failed = m_answer.status >= first_failure_status;
-        m_host.selector().ended(m_target, failed ? call_end::failed : call_end::served, now);
+        m_host.selector().record_outcome(m_target,
+                                         failed ? call_outcome::failed : call_outcome::served, now);
         ++m_arrivals;
         if (!retry_executed_nowhere(now)) {
             pass_on();
@@ -427,7 +429,7 @@
 bool entry_relay::retry_executed_nowhere(instant now) {
     const bool not_run = m_answer.status >= 400 && !m_passing_on &&
                          m_answer.find(m_host.options().headers.not_executed) != nullptr;
-    if (!not_run || m_arrivals >= m_route.most_attempts || !m_body.replayable() ||
+    if (!not_run || m_arrivals >= m_route.max_attempts || !m_body.replayable() ||
         now + m_hop.load.service_time > m_objective ||
         !m_host.take_retry(m_service, m_may_have_run)) {
         return false;
@@ -467,7 +469,8 @@
     m_body.detach();
     m_call.reset();
     const bool connected = why != call_failure::not_connected && why != call_failure::refused;
-    m_host.selector().ended(m_target, connected ? call_end::failed : call_end::unreachable, now);
+    m_host.selector().record_outcome(
+        m_target, connected ? call_outcome::failed : call_outcome::unreachable, now);
     m_host.log().note("attempt_failed",
                       {{"request", m_id},
                        {"target", m_target_name},
@@ -504,8 +507,8 @@
     ++m_arrivals;
     m_may_have_run = true;
     m_tried.insert(m_target);
-    const bool again = m_route.repeat == repeat_rule::idempotent && m_body.replayable() &&
-                       m_arrivals < m_route.most_attempts &&
+    const bool again = m_route.repeat == retry_policy::idempotent && m_body.replayable() &&
+                       m_arrivals < m_route.max_attempts &&
                        !m_host.agent().lease().suspects().suspects(m_fingerprint) &&
                        now + m_hop.load.service_time < m_deadline;
     if (!again || !m_host.take_retry(m_service, true)) {
@@ -524,8 +527,8 @@
         kind = error_kind::target_lost;
     }
     if (lacks_room(kind)) {
-        m_host.meter().note_rejected(admission(), now);
-        m_host.dependencies().note_rejected(m_route.name, m_hop.level, now);
+        m_host.meter().record_rejected(admission(), now);
+        m_host.dependencies().record_rejected(m_route.name, m_hop.level, now);
         // Sooner there is hardly room, and one that comes back can't be in time any more.
         retry_after = std::max(retry_after, m_route.latency_objective);
     }
@@ -544,7 +547,7 @@
         const auto pause = static_cast<double>(std::max(retry_after, duration(1000)).count());
         headers.push_back(
             {"Retry-After", seconds_text(duration(static_cast<duration::rep>(pause * factor)))});
-        m_host.returning().note(m_route.name, m_caller_deadline, m_asked, now);
+        m_host.returning().record_refusal(m_route.name, m_caller_deadline, m_asked, now);
     }
     if (status < first_failure_status) {
         log_denial(status, kind, now);
--- a/src/transport/traffic/node_agent.cpp
+++ b/src/transport/traffic/node_agent.cpp
@@ -58,11 +58,11 @@
                                                           : std::nullopt;
 }
 
-hold_keeper::key_state node_agent::state_of(std::uint32_t key, instant now) const {
+hold_manager::key_state node_agent::state_of(std::uint32_t key, instant now) const {
     const std::uint64_t hash = ordered_key_hash(key);
     if (delivery() == hold_delivery::by_call && m_lease.lease_valid(now) &&
         m_caller.holds(key, now)) {
-        return hold_keeper::key_state::held;
+        return hold_manager::key_state::held;
     }
     return m_holds.state_of(hash, m_lease, now);
 }
@@ -95,7 +95,8 @@
         return item.second.name == name && item.second.address == m_options.node.self &&
                item.second.phase == target_phase::serving;
     });
-    if (m_target || m_stopping || known == targets.end() || m_ended.has_left(name, at.now)) {
+    if (m_target || m_stopping || known == targets.end() ||
+        m_ended.has_ended_recently(name, at.now)) {
         return;
     }
     log_event(log_level::info, "target_assumed", {{"target", name}});
@@ -131,7 +132,7 @@
         const bool holds = keyed() && at.now < may_hold_until();
         const bool missed = m_beat_at + m_options.heartbeat_interval * 2 < at.now;
         // Its keys get higher tokens with its next registration.
-        const bool stuck = m_caller.stuck(at.now);
+        const bool stuck = m_caller.token_rejected(at.now);
         if (!holds &&
             (m_left || silent || stuck || (keyed() && missed && may_hold_until() != instant{}))) {
             // One that fell silent may only have been cut off or paused, and may report again.
@@ -141,8 +142,8 @@
             announce(at); // an earlier registration had to end first
         }
     }
-    if (m_crashes.urgent(at.now)) {
-        m_lease.hurry();
+    if (m_crashes.has_unsent_report(at.now)) {
+        m_lease.renew_at_next_tick();
     }
     std::vector<outgoing> messages;
     m_lease.tick(
@@ -157,14 +158,15 @@
     if (m_stopping && !keyed()) {
         return;
     }
-    m_lease.announce({.name = m_target->name,
-                      .service = m_target->service,
-                      .slots = m_target->slots,
-                      .connections = m_target->slots,
-                      .checks_tokens = true,
-                      .draining = target_leaving(),
-                      .incarnation = m_assumed ? any_life : incarnation_of(m_target->life())},
-                     at);
+    m_lease.announce(
+        {.name = m_target->name,
+         .service = m_target->service,
+         .slots = m_target->slots,
+         .connections = m_target->slots,
+         .checks_tokens = true,
+         .draining = target_leaving(),
+         .incarnation = m_assumed ? any_incarnation : incarnation_id(m_target->life())},
+        at);
 }
 
 void node_agent::receive(const node_address &from, const message &body, moment at) {
@@ -236,9 +238,9 @@
     }
     m_unanswered = std::move(answer);
     m_holds.note(beat.report, m_lease);
-    if (m_holds.has_news()) {
-        m_holds.news_sent();
-        m_lease.hurry();
+    if (m_holds.has_unreported_release()) {
+        m_holds.mark_releases_reported();
+        m_lease.renew_at_next_tick();
     }
     m_heartbeat_at = at.now;
     answer_heartbeat_if_due(at.now);
@@ -348,7 +350,7 @@
 
 void node_agent::target_names_limit(std::optional<double> per_second, std::uint64_t life,
                                     instant now) {
-    if (!m_target || incarnation_of(m_target->life()) != life || per_second == m_queue.rate()) {
+    if (!m_target || incarnation_id(m_target->life()) != life || per_second == m_queue.rate()) {
         return;
     }
     const bool begins_or_ends = per_second.has_value() != m_queue.rate().has_value();
@@ -363,7 +365,7 @@
 }
 
 void node_agent::target_says_leaving(std::uint64_t life, moment at) {
-    if (!m_target || m_draining_since != instant{} || incarnation_of(m_target->life()) != life) {
+    if (!m_target || m_draining_since != instant{} || incarnation_id(m_target->life()) != life) {
         return;
     }
     m_draining_since = at.now;
@@ -417,7 +419,7 @@
     if (ended && !m_assumed) {
         m_ended.note(m_target->life(), at.now);
         if (m_draining_since == instant{}) {
-            m_crashes.note_end(m_target->name, incarnation_of(m_target->life()), at.now);
+            m_crashes.note_end(m_target->name, incarnation_id(m_target->life()), at.now);
         }
     }
     const std::string address = m_target->address;
@@ -439,10 +441,10 @@
 
 bool node_agent::lives_told_apart(const std::string &name) const {
     const bool present = m_target && m_target->name == name && m_target->born;
-    return present || m_ended.told_start(name);
+    return present || m_ended.has_known_start(name);
 }
 
-call_fault node_agent::judge(const target_life &life, instant now) const {
+call_fault node_agent::judge(const target_incarnation &life, instant now) const {
     if (!life.born) {
         return lives_told_apart(life.name) ? call_fault::born_missing : call_fault::none;
     }
@@ -461,7 +463,7 @@
     return judge(beat.life(), now);
 }
 
-call_fault node_agent::target_leaves(const target_life &life, moment at) {
+call_fault node_agent::target_leaves(const target_incarnation &life, moment at) {
     const call_fault fault = judge(life, at.now);
     if (fault != call_fault::none) {
         return fault;
@@ -491,7 +493,7 @@
 
 /// This node was started again and has not heard of the target yet. It says nothing more, so taking
 /// it up later, by the map, would give it work after its farewell was acknowledged.
-void node_agent::note_farewell(const target_life &life, instant now) {
+void node_agent::note_farewell(const target_incarnation &life, instant now) {
     log_event(log_level::info, "target_leaves", {{"target", life.name}, {"known", false}});
     if (m_unjudged && m_unjudged->beat.name == life.name) {
         m_unjudged.reset();
@@ -535,7 +537,7 @@
 }
 
 std::optional<error_kind> node_agent::refusal(const hop_request &request, instant now) const {
-    if (m_lease.suspects().quarantines(request.fingerprint)) {
+    if (m_lease.suspects().is_quarantined(request.fingerprint)) {
         return error_kind::quarantined;
     }
     // A target of another service would run what no route leads to it.
@@ -557,12 +559,12 @@
         return error_kind::draining;
     }
     switch (state_of(*request.key, now)) {
-    case hold_keeper::key_state::held: return std::nullopt;
-    case hold_keeper::key_state::expected:
+    case hold_manager::key_state::held: return std::nullopt;
+    case hold_manager::key_state::expected:
         // An assumed target was given its keys by an earlier life of this node, and checks itself.
         return m_assumed ? std::nullopt : std::optional(error_kind::no_owner);
-    case hold_keeper::key_state::moving: return error_kind::moving;
-    case hold_keeper::key_state::not_owned: break;
+    case hold_manager::key_state::moving: return error_kind::moving;
+    case hold_manager::key_state::not_owned: break;
     }
     return error_kind::not_owner;
 }
@@ -587,9 +589,9 @@
         return {};
     }
     std::vector<hold_call> calls = m_caller.due(m_lease, m_beat_at, now);
-    if (m_holds.has_news()) {
-        m_holds.news_sent();
-        m_lease.hurry();
+    if (m_holds.has_unreported_release()) {
+        m_holds.mark_releases_reported();
+        m_lease.renew_at_next_tick();
     }
     return calls;
 }
--- a/src/transport/traffic/target_relay.cpp
+++ b/src/transport/traffic/target_relay.cpp
@@ -62,8 +62,8 @@
     m_deadline = m_received + m_hop.time_left;
     m_objective = m_received + m_hop.objective_left;
     const std::string *caller = head.find(m_host.options().headers.caller_service);
-    m_host.nested_calls().note(m_hop.route, caller == nullptr ? std::string() : *caller,
-                               m_received);
+    m_host.nested_calls().record(m_hop.route, caller == nullptr ? std::string() : *caller,
+                                 m_received);
     const routing_table &routing = m_host.agent().lease().routes();
     m_parent_priority = m_host.nested_calls().parent_priority(m_hop.route, routing);
     m_priority = m_parent_priority && m_hop.expendable ? *m_parent_priority + 1 : m_hop.priority;
@@ -107,7 +107,7 @@
         return true; // a request that is under way depends on it
     }
     if (!std::exchange(m_offered, true) && m_hop.first_choice) {
-        m_host.board().note({m_hop.route, expired()}, m_hop.priority, m_hop.admitted, now);
+        m_host.board().record({m_hop.route, expired()}, m_hop.priority, m_hop.admitted, now);
     }
     const double draw = std::uniform_real_distribution<double>(0, 1)(m_host.random());
     return !m_host.options().policy.dependency_admission ||
@@ -133,7 +133,7 @@
         refuse(error_kind::dependency_overloaded, now, queue.retry_after());
         return;
     }
-    if (!queue.would_take(item(), now)) {
+    if (!queue.would_accept(item(), now)) {
         refuse(error_kind::overloaded, now, queue.retry_after());
         return;
     }
@@ -255,7 +255,7 @@
     m_host.metrics().note_queue(now - m_received);
     m_started = now;
     const target_heartbeat &target = m_host.agent().target();
-    m_life = incarnation_of(target.life());
+    m_life = incarnation_id(target.life());
     const traffic_headers &names = m_host.options().headers;
     http_head head;
     head.method = m_sender->request().method;
@@ -347,7 +347,7 @@
         m_host.agent().run_answered(m_hop.fingerprint, m_life, now);
     }
     if (!m_parent_priority) {
-        m_host.dependencies().note_run(m_started, m_status < first_failure_status, now);
+        m_host.dependencies().record_run(m_started, m_status < first_failure_status, now);
     }
     leave_queue(m_not_executed ? std::nullopt : std::optional(now - m_started));
     m_phase = phase::done;
--- a/src/transport/traffic/traffic_host.cpp
+++ b/src/transport/traffic/traffic_host.cpp
@@ -117,14 +117,14 @@
 
 traffic_host::service_retries &traffic_host::retries_of(const std::string &service) {
     retry_budget::options all = m_options.retries;
-    all.most = saved_retries_now();
+    all.max_tokens = saved_retries_now();
     const service_retries fresh{retry_budget(all), retry_budget(m_options.reruns)};
     return m_retries.try_emplace(service, fresh).first->second;
 }
 
 double traffic_host::saved_retries_now() const {
-    return saved_retries(m_options.retry_slack, m_agent.lease().map().targets().size(),
-                         m_options.retries.most);
+    return retry_burst_per_node(m_options.retry_slack, m_agent.lease().map().targets().size(),
+                                m_options.retries.max_tokens);
 }
 
 void traffic_host::note_request(const std::string &service) {
@@ -150,9 +150,9 @@
 void traffic_host::wake_all(instant now) {
     m_changed = false;
     apply_limits();
-    m_selector.keep_only(m_agent.lease().map().targets());
+    m_selector.retain(m_agent.lease().map().targets());
     for (auto &[service, budget] : m_retries) {
-        budget.all.set_most(saved_retries_now());
+        budget.all.set_max_tokens(saved_retries_now());
     }
     const std::vector<timed_request *> all(m_requests.begin(), m_requests.end());
     for (timed_request *request : all) {
@@ -281,7 +281,7 @@
 
 target_load traffic_host::load(const std::string &route) const {
     target_load result = m_agent.load();
-    result.route_time = m_agent.queue().known_time(route).value_or(duration{});
+    result.route_time = m_agent.queue().measured_service_time(route).value_or(duration{});
     result.body_wait = m_body_turns.retry_after();
     return result;
 }
--- a/tests/coordination/crash_fuzz.cpp
+++ b/tests/coordination/crash_fuzz.cpp
@@ -1,6 +1,6 @@
 #include "crash_fuzz.hpp"
 
-#include "ready_world.hpp"
+#include "ready_cluster.hpp"
 
 #include <algorithm>
 
@@ -11,29 +11,30 @@
 using namespace std::chrono_literals;
 
 constexpr std::size_t nodes = 5;
-constexpr std::uint64_t things = 12; ///< popular contents
-constexpr std::size_t ends_known = 3;
-constexpr std::ptrdiff_t late_ends = 3; ///< allowed once what was learnt has spread
-constexpr duration contact_window = 3s;
+constexpr std::uint64_t popular_contents = 12;
+constexpr std::size_t crashes_until_quarantine = 3;
+constexpr std::ptrdiff_t max_late_crashes = 3; ///< allowed after the quarantine has reached every
+                                               ///< node
+constexpr duration propagation_time = 3s;
 
 class crash_sequence {
 public:
     explicit crash_sequence(std::uint64_t seed)
-        : m_world(ready_world({.seed = seed})), m_random(seed) {}
+        : m_world(make_ready_cluster({.seed = seed})), m_random(seed) {}
 
     std::string run() {
         const instant until = m_world->now() + 25s;
         while (m_world->now() < until) {
             step();
         }
-        // The last evidence may still be on its way.
+        // The last crash reports may still be in flight.
         m_world->run(5s);
-        return fault();
+        return violation();
     }
 
 private:
     void step() {
-        ask();
+        submit_requests();
         m_world->run(duration(30'000 + m_random() % 150'000));
         // A process takes longer to start than its end takes to be noticed.
         const bool noticed =
@@ -51,16 +52,16 @@
         }
     }
 
-    void ask() {
+    void submit_requests() {
         if (m_random() % 2 == 0) {
-            m_world->submit_content(m_random() % nodes, 4, world::crashing_content);
+            m_world->submit_content(m_random() % nodes, 4, simulated_cluster::crashing_content);
         }
         for (int i = 0; i < 8; ++i) {
-            // Half of all are for one thing; it shares its owner with the request that ends
-            // targets.
-            const std::uint64_t thing = m_random() % 2 == 0 ? 4 : m_random() % things;
-            m_world->submit_content(m_random() % nodes, static_cast<unsigned int>(thing),
-                                    "thing " + std::to_string(thing));
+            // Half of the requests are for one content, which has the same owner as the request
+            // that crashes targets.
+            const std::uint64_t content = m_random() % 2 == 0 ? 4 : m_random() % popular_contents;
+            m_world->submit_content(m_random() % nodes, static_cast<unsigned int>(content),
+                                    "thing " + std::to_string(content));
         }
     }
 
@@ -80,23 +81,24 @@
         m_world->restart(*leader);
         m_world->run(500ms);
         const instant back = m_world->now();
-        m_unstable.push_back({back - 1500ms, back + contact_window});
+        m_unstable.push_back({back - 1500ms, back + propagation_time});
     }
 
     bool counts(instant end) const {
         const bool unstable =
             std::any_of(m_unstable.begin(), m_unstable.end(),
                         [&](const auto &span) { return span.first <= end && end <= span.second; });
-        return !unstable && end > m_world->crashes()[ends_known - 1] + contact_window;
+        return !unstable &&
+               end > m_world->crashes()[crashes_until_quarantine - 1] + propagation_time;
     }
 
-    std::string fault() const {
+    std::string violation() const {
         const std::vector<instant> &ends = m_world->crashes();
-        if (ends.size() > ends_known) {
+        if (ends.size() > crashes_until_quarantine) {
             const auto late =
                 std::count_if(ends.begin(), ends.end(), [&](instant end) { return counts(end); });
-            if (late > late_ends) {
-                return std::to_string(late) + " ends too many";
+            if (late > max_late_crashes) {
+                return std::to_string(late) + " crashes more than permitted";
             }
         }
         if (!m_world->violations().empty()) {
@@ -112,9 +114,9 @@
         return count > 1 ? "a popular request is quarantined" : "";
     }
 
-    std::unique_ptr<world> m_world;
+    std::unique_ptr<simulated_cluster> m_world;
     std::mt19937_64 m_random;
-    std::vector<std::pair<instant, instant>> m_unstable; ///< in which no rule holds for time
+    std::vector<std::pair<instant, instant>> m_unstable; ///< in which no time bound applies
 };
 
 } // namespace
@@ -124,26 +126,27 @@
 }
 
 std::string run_cut_off_leader_sequence(std::uint64_t seed) {
-    const auto all = ready_world({.seed = seed});
+    const auto all = make_ready_cluster({.seed = seed});
     std::mt19937_64 random(seed);
     const auto leader = all->leader();
-    all->submit_content(random() % nodes, 4, world::crashing_content);
+    all->submit_content(random() % nodes, 4, simulated_cluster::crashing_content);
     for (int i = 0; i < 100 && all->crashes().empty(); ++i) {
         all->run(20ms);
     }
     all->run(duration(random() % 400'000));
     for (std::size_t host = 0; host < all->hosts(); ++host) {
         if (host != *leader && all->has_control(host)) {
-            all->cut(*leader, host);
-            all->cut(host, *leader);
+            all->block_link(*leader, host);
+            all->block_link(host, *leader);
         }
     }
     all->run(1500ms);
     all->heal_network();
     all->run(4s);
     const auto last = all->leader();
-    const bool recorded = last && !all->control(*last).state().crashes().known_lives().empty();
-    return all->crashes().empty() || recorded ? "" : "the end of a target was never recorded";
+    const bool recorded =
+        last && !all->control(*last).state().crashes().recorded_incarnations().empty();
+    return all->crashes().empty() || recorded ? "" : "the crash of a target was never recorded";
 }
 
 } // namespace peppertack::testing
